--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -8,58 +8,58 @@
 	"time"
 )
 
-// DefaultDialTimeout bounds the start of a connection.
+// DefaultDialTimeout is the default limit on establishing a connection.
 const DefaultDialTimeout = time.Second
 
 var (
-	errSealed = errors.New("connection sealed: its request was given up before a byte was written")
-	errGuard  = errors.New("write forbidden by the last check")
+	errSealed        = errors.New("connection closed for writing: the request was abandoned before its first byte")
+	errWriteRejected = errors.New("write rejected by guard")
 )
 
-// trackedConn knows whether a write has begun since a mark, and can forbid
-// writes from then on. It turns "the request failed" into the proof that no
-// byte of it can have left this host.
+// trackedConn is a connection that counts its writes and can be sealed against
+// further ones. This can prove that no byte of a failed request has left this host.
 type trackedConn struct {
 	net.Conn
 
 	mu     sync.Mutex
-	begun  uint64
+	writes uint64
 	sealed bool
 	guard  Guard
-	// idleTimeout is what the server announced, 0 for nothing.
-	idleTimeout time.Duration
+	// serverIdleTimeout is the idle timeout that the server announced, 0 if none.
+	serverIdleTimeout time.Duration
 }
 
-// Write notes that a write begins before any byte can leave.
+// Write implements net.Conn. It counts the write before any byte can be sent.
 func (c *trackedConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	if c.sealed {
 		c.mu.Unlock()
 		return 0, errSealed
 	}
-	if err := c.check(); err != nil {
+	if err := c.runGuard(); err != nil {
 		c.mu.Unlock()
 		return 0, err
 	}
-	c.begun++
+	c.writes++
 	c.mu.Unlock()
 	n, err := c.Conn.Write(p)
 	if n == 0 && err != nil {
-		c.nothingWritten()
+		c.undoWrite()
 	}
 	return n, err
 }
 
-// nothingWritten takes back the note of a write that the system refused whole,
-// as on a connection that the other side has closed.
-func (c *trackedConn) nothingWritten() {
+// undoWrite uncounts a write of which the kernel accepted no byte, as on a
+// connection that the peer has closed.
+func (c *trackedConn) undoWrite() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.begun--
+	c.writes--
 }
 
-// check asks the guard once, before the first write of a request.
-func (c *trackedConn) check() error {
+// runGuard calls the guard once, before the first write of a request. c.mu must be
+// held.
+func (c *trackedConn) runGuard() error {
 	guard := c.guard
 	c.guard = nil
 	if guard == nil {
@@ -67,34 +67,34 @@
 	}
 	if err := guard(); err != nil {
 		c.sealed = true
-		return errors.Join(errGuard, err)
+		return errors.Join(errWriteRejected, err)
 	}
 	return nil
 }
 
-// arm sets the guard of the next request and returns a mark, the present point
-// in the connection's life.
-func (c *trackedConn) arm(guard Guard) uint64 {
+// beginRequest sets the guard of the next request and returns the number of writes
+// so far, the reference for sealIfUnwritten.
+func (c *trackedConn) beginRequest(guard Guard) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.guard = guard
-	return c.begun
+	return c.writes
 }
 
-// sealIfUnwritten reports whether no write has begun since the mark. If so, no
-// write can begin any more.
-func (c *trackedConn) sealIfUnwritten(mark uint64) bool {
+// sealIfUnwritten reports whether no write has begun since the count was
+// writesBefore. If so, it seals the connection.
+func (c *trackedConn) sealIfUnwritten(writesBefore uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.begun != mark {
+	if c.writes != writesBefore {
 		return false
 	}
 	c.sealed = true
 	return true
 }
 
-// tracked returns a dial function whose connections know what was written.
-func tracked(dialer *net.Dialer) func(ctx context.Context, network, address string) (net.Conn, error) {
+// trackingDial returns a dial function whose connections are trackedConns.
+func trackingDial(dialer *net.Dialer) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dialer.DialContext(ctx, network, address)
 		if err != nil {
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// idleMargin is the part of a server's announced idle timeout for which a
-// connection is used again: a request that crosses the server's close is lost.
-const idleMargin = 0.8
+// idleTimeoutFraction is the fraction of the server's announced idle timeout
+// within which a connection is reused. A request sent while the server closes the
+// connection is lost, so the last fifth is left out.
+const idleTimeoutFraction = 0.8
 
-// announcedIdle reads "timeout=N" of a Keep-Alive header (RFC 2068, 19.7.1.1),
-// in whole seconds. It is 0 where there is none.
-func announcedIdle(h http.Header) time.Duration {
+// keepAliveTimeout parses the "timeout=N" parameter of a Keep-Alive header
+// (RFC 2068, 19.7.1.1), in whole seconds. It returns 0 if there is none.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for field := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !found {
@@ -26,22 +27,23 @@
 	return 0
 }
 
-// announce keeps the idle timeout that the server announced.
-func (c *trackedConn) announce(timeout time.Duration) {
+// setServerIdleTimeout records the idle timeout that the server announced; 0
+// leaves an earlier one in place.
+func (c *trackedConn) setServerIdleTimeout(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if timeout > 0 {
-		c.idleTimeout = timeout
+		c.serverIdleTimeout = timeout
 	}
 }
 
-// sealIfIdle forbids writes on a connection that has been idle for longer than
-// maxIdle, or for nearly as long as its server keeps it. The request on it then
-// counts as not written.
+// sealIfIdle seals a connection that has been idle for longer than maxIdle (0 for
+// no limit), or for longer than idleTimeoutFraction of the server's idle timeout.
+// A request on it then counts as not written.
 func (c *trackedConn) sealIfIdle(idle, maxIdle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.idleTimeout > 0 && float64(idle) > idleMargin*float64(c.idleTimeout) {
+	if c.serverIdleTimeout > 0 && float64(idle) > idleTimeoutFraction*float64(c.serverIdleTimeout) {
 		c.sealed = true
 	}
 	if maxIdle > 0 && idle > maxIdle {
--- a/internal/upstream/idle_test.go
+++ b/internal/upstream/idle_test.go
@@ -18,72 +18,72 @@
 		"timeout=-1":         0,
 		"timeout=soon":       0,
 	} {
-		if got := announcedIdle(http.Header{"Keep-Alive": {value}}); got != want {
+		if got := keepAliveTimeout(http.Header{"Keep-Alive": {value}}); got != want {
 			t.Errorf("%q: %s, want %s", value, got, want)
 		}
 	}
 }
 
-// A connection that its server is about to close for idleness takes no request.
-func TestIdleConnectionIsNotUsedAgain(t *testing.T) {
+// A connection that its server is about to close as idle is not reused.
+func TestIdleConnectionIsNotReused(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
 	conn := &trackedConn{Conn: near}
 	conn.sealIfIdle(time.Hour, 0)
 	if conn.sealed {
-		t.Fatal("sealed although the server announced nothing")
+		t.Fatal("sealed although the server announced no idle timeout")
 	}
-	conn.announce(10 * time.Second)
+	conn.setServerIdleTimeout(10 * time.Second)
 	conn.sealIfIdle(7*time.Second, 0)
 	if conn.sealed {
-		t.Fatal("sealed after 7 of 10 s")
+		t.Fatal("sealed after 7 s idle of 10 s")
 	}
 	conn.sealIfIdle(9*time.Second, 0)
-	mark := conn.arm(nil)
+	writesBefore := conn.beginRequest(nil)
 	if _, err := conn.Write([]byte("POST")); !errors.Is(err, errSealed) {
-		t.Errorf("a write after 9 of 10 s gives %v", err)
+		t.Errorf("write after 9 s idle of 10 s: got %v, want errSealed", err)
 	}
-	if !conn.sealIfUnwritten(mark) {
-		t.Error("the request counts as written")
+	if !conn.sealIfUnwritten(writesBefore) {
+		t.Error("request on a sealed connection counts as written")
 	}
 }
 
-// A bound of the request's own holds whatever the server announced.
-func TestIdleConnectionBeyondTheBound(t *testing.T) {
-	const bound = 200 * time.Millisecond
-	for _, idle := range []time.Duration{bound / 2, 2 * bound} {
+// The request's own idle limit applies in addition to the server's timeout.
+func TestMaxIdleLimitsReuse(t *testing.T) {
+	const maxIdle = 200 * time.Millisecond
+	for _, idle := range []time.Duration{maxIdle / 2, 2 * maxIdle} {
 		near, far := net.Pipe()
 		conn := &trackedConn{Conn: near}
-		conn.announce(10 * time.Second)
-		conn.sealIfIdle(idle, bound)
-		if want := idle > bound; conn.sealed != want {
-			t.Errorf("sealed %t after %s with a bound of %s", conn.sealed, idle, bound)
+		conn.setServerIdleTimeout(10 * time.Second)
+		conn.sealIfIdle(idle, maxIdle)
+		if want := idle > maxIdle; conn.sealed != want {
+			t.Errorf("got sealed %t after %s idle with maxIdle %s", conn.sealed, idle, maxIdle)
 		}
 		near.Close()
 		far.Close()
 	}
 }
 
-// refusing is a connection whose writes the system refuses whole, or after n bytes.
-type refusing struct {
+// failingConn is a connection whose writes fail after n bytes.
+type failingConn struct {
 	net.Conn
 	n int
 }
 
-func (r refusing) Write([]byte) (int, error) { return r.n, errors.New("broken pipe") }
+func (r failingConn) Write([]byte) (int, error) { return r.n, errors.New("broken pipe") }
 
-// A write of which the system took nothing leaves the request unwritten; one
-// that broke off after a byte does not.
-func TestRefusedWriteIsUnwritten(t *testing.T) {
+// A write that fails before any byte is accepted leaves the request unwritten; one
+// that fails after a byte does not.
+func TestFailedWriteIsUnwritten(t *testing.T) {
 	for n, want := range map[int]bool{0: true, 1: false} {
-		conn := &trackedConn{Conn: refusing{n: n}}
-		mark := conn.arm(nil)
+		conn := &trackedConn{Conn: failingConn{n: n}}
+		writesBefore := conn.beginRequest(nil)
 		if _, err := conn.Write([]byte("POST")); err == nil {
-			t.Fatal("the write must fail")
+			t.Fatal("write succeeded, want an error")
 		}
-		if got := conn.sealIfUnwritten(mark); got != want {
-			t.Errorf("unwritten %t after %d bytes, want %t", got, n, want)
+		if got := conn.sealIfUnwritten(writesBefore); got != want {
+			t.Errorf("got unwritten %t after %d bytes, want %t", got, n, want)
 		}
 	}
 }
--- /dev/null
+++ b/internal/upstream/liveness.go
@@ -0,0 +1,122 @@
+package upstream
+
+import (
+	"context"
+	"errors"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+)
+
+// Fate is the state of a server whose connection has broken.
+type Fate int
+
+const (
+	// LivenessUnknown means that the address did not respond. The network path may
+	// be down.
+	LivenessUnknown Fate = iota
+	// LivenessAlive means that the address accepts connections.
+	LivenessAlive
+	// FateEnded means that the machine refused the connection: nothing listens at
+	// the address.
+	FateEnded
+)
+
+var livenessNames = [...]string{"unknown", "alive", "ended"}
+
+// String returns the name used in logs.
+func (f Fate) String() string { return livenessNames[f] }
+
+const (
+	// checkTimeout limits a check. A machine whose server has ended refuses the
+	// connection within one round trip, 1 to 8 ms between data centres. No response
+	// within the limit means that the path is down.
+	checkTimeout = 100 * time.Millisecond
+	// checkTTL is how long a result is cached, so that requests whose connections
+	// break together share one check. A server takes longer than this to restart.
+	checkTTL = 100 * time.Millisecond
+	// maxChecks limits the cached results, about 100 bytes each. At the limit, expired
+	// results are evicted; if there are none, the new result is not cached.
+	maxChecks = 1024
+)
+
+// Fates determines whether servers are still running by connecting to them.
+// Concurrent checks of one address share one connection attempt.
+type Fates struct {
+	dial func(ctx context.Context, address string) error
+
+	mu     sync.Mutex
+	checks map[string]*livenessCheck
+}
+
+type livenessCheck struct {
+	done    chan struct{}
+	result  Fate
+	expires time.Time
+}
+
+// NewFates returns a checker that opens TCP connections.
+func NewFates() *Fates {
+	dialer := &net.Dialer{Timeout: checkTimeout}
+	return &Fates{
+		checks: make(map[string]*livenessCheck),
+		dial: func(ctx context.Context, address string) error {
+			conn, err := dialer.DialContext(ctx, "tcp", address)
+			if err == nil {
+				conn.Close()
+			}
+			return err
+		},
+	}
+}
+
+// Of returns the state of the server at address (IP:port), to which a connection has
+// just broken. It blocks for one round trip, at most checkTimeout.
+func (f *Fates) Of(address string) Fate {
+	check, first := f.entry(time.Now(), address)
+	if first {
+		check.result = livenessOf(f.dial(context.Background(), address))
+		close(check.done)
+	}
+	<-check.done
+	return check.result
+}
+
+// entry returns the check of an address. If first is true, the check is new, and
+// its result must be set and its done channel closed.
+func (f *Fates) entry(now time.Time, address string) (entry *livenessCheck, first bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if cached, ok := f.checks[address]; ok && now.Before(cached.expires) {
+		return cached, false
+	}
+	if len(f.checks) >= maxChecks {
+		f.evictExpired(now)
+	}
+	entry = &livenessCheck{done: make(chan struct{}), expires: now.Add(checkTTL)}
+	if len(f.checks) < maxChecks {
+		f.checks[address] = entry
+	}
+	return entry, true
+}
+
+// evictExpired removes expired results. f.mu must be held.
+func (f *Fates) evictExpired(now time.Time) {
+	for address, cached := range f.checks {
+		if !now.Before(cached.expires) {
+			delete(f.checks, address)
+		}
+	}
+}
+
+func livenessOf(err error) Fate {
+	switch {
+	case err == nil:
+		return LivenessAlive
+	case errors.Is(err, syscall.ECONNREFUSED):
+		return FateEnded
+	default:
+		return LivenessUnknown
+	}
+}
--- a/internal/upstream/fate_test.go
+++ b/internal/upstream/liveness_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-func TestFateOfAddresses(t *testing.T) {
+func TestLivenessOfAddresses(t *testing.T) {
 	alive, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -24,24 +24,24 @@
 	}
 	ended.Close()
 	fates := NewFates()
-	for address, want := range map[string]Fate{alive.Addr().String(): FateAlive, ended.Addr().String(): FateEnded} {
+	for address, want := range map[string]Fate{alive.Addr().String(): LivenessAlive, ended.Addr().String(): FateEnded} {
 		if got := fates.Of(address); got != want {
-			t.Errorf("%s: %s, want %s", address, got, want)
+			t.Errorf("liveness of %s: got %s, want %s", address, got, want)
 		}
 	}
 }
 
-// A path that is cut says nothing of the server.
-func TestSilenceIsNoEnd(t *testing.T) {
+// A timeout or an unreachable network does not show that the server has ended.
+func TestNoResponseIsUnknown(t *testing.T) {
 	for _, err := range []error{os.ErrDeadlineExceeded, errors.New("no route to host")} {
-		if got := fateOf(&net.OpError{Op: "dial", Err: err}); got != FateUnknown {
-			t.Errorf("%v: %s", err, got)
+		if got := livenessOf(&net.OpError{Op: "dial", Err: err}); got != LivenessUnknown {
+			t.Errorf("liveness after %v: got %s", err, got)
 		}
 	}
 }
 
-// All requests that lose a connection at one moment make one connection between them.
-func TestOneCheckForAll(t *testing.T) {
+// Concurrent checks of one address share one connection attempt.
+func TestConcurrentChecksShareOneDial(t *testing.T) {
 	var dials atomic.Int32
 	release := make(chan struct{})
 	fates := NewFates()
@@ -55,22 +55,22 @@
 		wg.Go(func() { fates.Of("10.0.0.1:80") })
 	}
 	for dials.Load() == 0 {
-		time.Sleep(time.Millisecond) // until the first is under way
+		time.Sleep(time.Millisecond) // until the first dial has started
 	}
 	close(release)
 	wg.Wait()
 	if n := dials.Load(); n != 1 {
-		t.Errorf("%d connections", n)
+		t.Errorf("got %d dials, want 1", n)
 	}
 }
 
-func TestFatesAreBounded(t *testing.T) {
+func TestCachedChecksAreBounded(t *testing.T) {
 	fates := NewFates()
 	fates.dial = func(context.Context, string) error { return nil }
-	for i := range 2 * maxFates {
+	for i := range 2 * maxChecks {
 		fates.Of(fmt.Sprintf("10.0.0.1:%d", i))
 	}
-	if n := len(fates.checks); n > maxFates {
-		t.Errorf("%d addresses are remembered", n)
+	if n := len(fates.checks); n > maxChecks {
+		t.Errorf("%d checks are cached, more than maxChecks", n)
 	}
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,10 +1,11 @@
 // Package upstream sends one request to one backend server or owner host and
-// says truthfully what became of it: not written, answered, or unknown.
+// reports whether it was answered, never written, or has an unknown outcome.
 //
-// net/http's Transport resends a request by itself when a reused connection
-// breaks, also a POST that carries Idempotency-Key and has no body. Every
-// request of ours therefore has a body without GetBody, which the Transport
-// does not replay; a test proves it.
+// When a reused connection breaks, http.Transport may resend a request on its
+// own, even a POST if it carries Idempotency-Key and has no body. Every request
+// sent by this package therefore has a body but no GetBody, which http.Transport
+// does not replay. TestStandardTransportResends and TestTransportNeverResends
+// cover this.
 package upstream
 
 import (
@@ -22,49 +23,50 @@
 )
 
 const (
-	idleConnsPerAddress = 64
-	idleTimeout         = 60 * time.Second
+	maxIdleConnsPerAddress = 64
+	idleConnTimeout        = 60 * time.Second
 )
 
-// Transport keeps the connections to backend servers and owner hosts.
+// Transport sends requests over pooled connections.
 type Transport struct {
 	http *http.Transport
 }
 
-// Config of a Transport.
+// Config configures a Transport.
 type Config struct {
-	// TLS is for https targets, nil for none.
+	// TLS is the client configuration for https targets. It may be nil.
 	TLS *tls.Config
-	// DialTimeout bounds a connection's start. Shorter leaves a silent address
-	// sooner; a lost first packet is sent again after 1 s by the kernel.
+	// DialTimeout limits the time to establish a connection. A shorter one gives up
+	// on an unresponsive address sooner, but the kernel retransmits a lost SYN only
+	// after 1 s.
 	DialTimeout time.Duration
 }
 
-// NewTransport returns a transport.
+// NewTransport returns a Transport with the given configuration.
 func NewTransport(conf Config) *Transport {
 	dialer := &net.Dialer{Timeout: conf.DialTimeout}
 	return &Transport{http: &http.Transport{
-		DialContext:         tracked(dialer),
+		DialContext:         trackingDial(dialer),
 		TLSClientConfig:     conf.TLS,
-		MaxIdleConnsPerHost: idleConnsPerAddress,
-		IdleConnTimeout:     idleTimeout,
+		MaxIdleConnsPerHost: maxIdleConnsPerAddress,
+		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (t *Transport) Close() { t.http.CloseIdleConnections() }
 
-// Answer is a response whose header has arrived.
+// Answer is a response whose header has been received.
 type Answer struct {
 	*http.Response
-	// FirstByte is the time from sending to the header.
+	// FirstByte is the time from the start of the request to the response header.
 	FirstByte time.Duration
 	conn      *trackedConn
 }
 
-// Discard closes the answer together with its connection, so that nothing late
-// on it can reach another caller.
+// Discard closes the response body and the connection, so that no late data on it
+// can reach another caller.
 func (a *Answer) Discard() {
 	a.Body.Close()
 	if a.conn != nil {
@@ -72,49 +74,49 @@
 	}
 }
 
-// Finish ends an answer that is not passed on and keeps its connection usable.
-// The connection may carry another request as soon as the body has been read
-// to its end: it must not be closed then.
+// Finish drains and closes the body of a response that is not passed on, so that
+// the connection can be reused. It does not close the connection itself, which may
+// carry another request as soon as the body has been read to its end.
 func (a *Answer) Finish() {
-	_, _ = io.CopyN(io.Discard, a.Body, finishLimitBytes) // a longer rest closes the connection
+	_, _ = io.CopyN(io.Discard, a.Body, maxDrainBytes) // Close drops the connection if more is left
 	a.Body.Close()
 }
 
-// finishLimitBytes is how much of an unwanted answer is read to keep its
-// connection.
-const finishLimitBytes = 16 << 10
+// maxDrainBytes limits how much of an unwanted body is read to keep the connection
+// reusable.
+const maxDrainBytes = 16 << 10
 
-// Failure is an exchange without an answer.
+// Failure is the error of a request that got no response.
 type Failure struct {
 	// Written is false only if no byte of the request can have left this host.
 	Written bool
-	// Dialled is false if no connection could be had.
+	// Dialled is false if no connection was established.
 	Dialled bool
-	// Reused is whether the connection had carried a request before: then it may
-	// be the connection alone that broke.
+	// Reused is true if the connection had carried an earlier request. The failure
+	// may then concern only the connection, not the server.
 	Reused bool
 	err    *errs.Error
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (f *Failure) Error() string { return f.err.Error() }
 
-// Unwrap returns the typed cause.
+// Unwrap returns the underlying *errs.Error.
 func (f *Failure) Unwrap() error { return f.err }
 
-// attempt follows one request over its connection.
+// attempt tracks the connection that one request uses.
 type attempt struct {
 	guard   Guard
 	maxIdle time.Duration
 
-	mu     sync.Mutex
-	conn   *trackedConn
-	mark   uint64
-	reused bool
+	mu           sync.Mutex
+	conn         *trackedConn
+	writesBefore uint64
+	reused       bool
 }
 
-// Guard is asked right before the first byte of a request is written. An error
-// forbids the write; the request then counts as not written.
+// Guard is called immediately before the first byte of a request is written. If it
+// returns an error, nothing is written and the request counts as not written.
 type Guard func() error
 
 func (a *attempt) gotConn(info httptrace.GotConnInfo) {
@@ -127,14 +129,14 @@
 		if info.WasIdle {
 			conn.sealIfIdle(info.IdleTime, a.maxIdle)
 		}
-		a.mark = conn.arm(a.guard)
+		a.writesBefore = conn.beginRequest(a.guard)
 	}
 }
 
-func (a *attempt) connection() (conn *trackedConn, mark uint64, reused bool) {
+func (a *attempt) connection() (conn *trackedConn, writesBefore uint64, reused bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.conn, a.mark, a.reused
+	return a.conn, a.writesBefore, a.reused
 }
 
 func underlying(conn net.Conn) *trackedConn {
@@ -149,63 +151,64 @@
 	}
 }
 
-// Do sends a request once. The request's body must not be nil; Body gives one
-// for requests without content. guard may be nil. A connection that was idle for
-// longer than maxIdle is not used, 0 for no bound but the server's own.
+// Do sends a request exactly once. The request's body must not be nil; Body
+// returns one for requests without content. guard may be nil. A connection that has
+// been idle for longer than maxIdle is not used; 0 leaves only the limit that the
+// server announced.
 func (t *Transport) Do(ctx context.Context, req *http.Request, guard Guard, maxIdle time.Duration) (*Answer, *Failure) {
 	a := &attempt{guard: guard, maxIdle: maxIdle}
 	req = req.WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: a.gotConn}))
 	req.GetBody = nil
 	start := time.Now()
 	resp, err := t.http.RoundTrip(req)
-	conn, mark, reused := a.connection()
+	conn, writesBefore, reused := a.connection()
 	if err != nil {
-		f := failure(ctx, err, conn, mark)
+		f := newFailure(ctx, err, conn, writesBefore)
 		f.Reused = reused
 		return nil, f
 	}
 	if conn != nil {
-		conn.announce(announcedIdle(resp.Header))
+		conn.setServerIdleTimeout(keepAliveTimeout(resp.Header))
 	}
 	return &Answer{Response: resp, FirstByte: time.Since(start), conn: conn}, nil
 }
 
-func failure(ctx context.Context, err error, conn *trackedConn, mark uint64) *Failure {
+func newFailure(ctx context.Context, err error, conn *trackedConn, writesBefore uint64) *Failure {
 	f := &Failure{Dialled: conn != nil}
-	f.Written = conn != nil && !conn.sealIfUnwritten(mark)
+	f.Written = conn != nil && !conn.sealIfUnwritten(writesBefore)
 	switch {
-	case errors.Is(err, errGuard):
+	case errors.Is(err, errWriteRejected):
 		f.err = guardError(err)
 	case !f.Written && !f.Dialled && ctx.Err() == nil:
-		f.err = errs.Wrap(err, errs.KindDialFailed, "no connection", "see that the server runs and can be reached from this host")
+		f.err = errs.Wrap(err, errs.KindDialFailed, "could not connect", "check that the server is running and reachable from this host")
 	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
-		f.err = errs.Wrap(err, errs.KindDeadline, "no answer in time", "allow more time or ask for the outcome")
+		f.err = errs.Wrap(err, errs.KindDeadline, "no response before the deadline", "allow more time or query the outcome")
 	case ctx.Err() != nil:
 		f.err = errs.Wrap(err, errs.KindCanceled, "caller went away", "nothing to do")
 	default:
-		f.err = errs.Wrap(err, errs.KindBroken, "connection broke", "ask for the outcome before repeating a non-idempotent request")
+		f.err = errs.Wrap(err, errs.KindBroken, "connection broke", "query the outcome before repeating a non-idempotent request")
 	}
 	return f
 }
 
-// guardError is the guard's own reason for forbidding a write.
+// guardError returns the guard's own error if it is typed, and else wraps err.
 func guardError(err error) *errs.Error {
 	var typed *errs.Error
 	if errors.As(err, &typed) {
 		return typed
 	}
-	return errs.Wrap(err, errs.KindStaleHost, "the last check before the request was sent forbade it", "repeat the request; another host or this one will take it")
+	return errs.Wrap(err, errs.KindStaleHost, "the check before sending the request rejected it", "repeat the request; this host or another will handle it")
 }
 
-// emptyBody is a body that is neither nil nor http.NoBody, because the
-// Transport would replay a request with those.
+// emptyBody is an empty body other than nil and http.NoBody, with which
+// http.Transport may replay a request.
 type emptyBody struct{}
 
 func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
 func (emptyBody) Close() error             { return nil }
 
-// Body returns the body to send: the given one, or one that is empty but keeps
-// the Transport from replaying the request.
+// Body returns body, or for nil and http.NoBody an empty body that keeps
+// http.Transport from replaying the request.
 func Body(body io.ReadCloser) io.ReadCloser {
 	if body == nil || body == http.NoBody {
 		return emptyBody{}
@@ -213,13 +216,13 @@
 	return body
 }
 
-// Interrupted is the failure of a request whose work broke off inside this host: a server may
-// have run it.
+// Interrupted returns the failure of a request whose processing failed inside this
+// host after it may have been sent. A server may have executed it.
 func Interrupted() *Failure {
-	return &Failure{Written: true, Dialled: true, err: errs.New(errs.KindInternal, "this host failed while it sent the request", "ask for the outcome before repeating a non-idempotent request; see the host's log")}
+	return &Failure{Written: true, Dialled: true, err: errs.New(errs.KindInternal, "internal error while sending the request", "query the outcome before repeating a non-idempotent request; see the host's log")}
 }
 
-// NotSent is the failure of a request that was never handed to a connection.
+// NotSent returns the failure of a request that was never passed to a connection.
 func NotSent(err *errs.Error) *Failure {
 	return &Failure{Dialled: true, err: err}
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -14,16 +14,16 @@
 	"github.com/pearshelf/pearshelf/internal/upstream"
 )
 
-// closer answers the first request on each connection and closes the
-// connection after it has run any later one.
-type closer struct {
+// abortingServer answers the first request on each connection. It runs any later
+// one too, but then closes the connection without a response.
+type abortingServer struct {
 	listener net.Listener
 	runs     atomic.Int64
 }
 
-func newCloser(t *testing.T) *closer {
+func newAbortingServer(t *testing.T) *abortingServer {
 	t.Helper()
-	c := &closer{}
+	c := &abortingServer{}
 	var err error
 	if c.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
@@ -46,7 +46,7 @@
 	return c
 }
 
-func (c *closer) request(t *testing.T, body io.ReadCloser) *http.Request {
+func (c *abortingServer) request(t *testing.T, body io.ReadCloser) *http.Request {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+c.listener.Addr().String()+"/", body)
 	if err != nil {
@@ -64,10 +64,10 @@
 	body.Close()
 }
 
-// The standard Transport resends a POST with Idempotency-Key and no body when
-// a reused connection breaks: the reason for this package's body rule.
+// http.Transport resends a POST with Idempotency-Key and no body when a reused
+// connection breaks. This is why upstream never sends a request with a nil body.
 func TestStandardTransportResends(t *testing.T) {
-	c := newCloser(t)
+	c := newAbortingServer(t)
 	transport := &http.Transport{}
 	resp, err := transport.RoundTrip(c.request(t, nil))
 	if err != nil {
@@ -78,12 +78,12 @@
 		drain(t, resp.Body)
 	}
 	if runs := c.runs.Load(); runs != 3 {
-		t.Fatalf("%d runs: the standard Transport no longer resends; the rule may go", runs)
+		t.Fatalf("got %d runs, want 3: http.Transport no longer resends, so upstream.Body may be unnecessary", runs)
 	}
 }
 
 func TestTransportNeverResends(t *testing.T) {
-	c := newCloser(t)
+	c := newAbortingServer(t)
 	transport := upstream.NewTransport(upstream.Config{DialTimeout: upstream.DefaultDialTimeout})
 	answer, failure := transport.Do(t.Context(), c.request(t, upstream.Body(nil)), nil, 0)
 	if failure != nil {
@@ -92,10 +92,10 @@
 	drain(t, answer.Body)
 	_, failure = transport.Do(t.Context(), c.request(t, upstream.Body(nil)), nil, 0)
 	if failure == nil || !failure.Written {
-		t.Fatalf("want a failure after the write, got %+v", failure)
+		t.Fatalf("got %+v, want a failure after the write", failure)
 	}
 	if runs := c.runs.Load(); runs != 2 {
-		t.Fatalf("%d runs of 2 requests", runs)
+		t.Fatalf("got %d runs of 2 requests", runs)
 	}
 }
 
@@ -111,16 +111,16 @@
 	}
 	_, failure := upstream.NewTransport(upstream.Config{DialTimeout: upstream.DefaultDialTimeout}).Do(t.Context(), req, nil, 0)
 	if failure == nil || failure.Written || failure.Dialled || errs.KindOf(failure) != errs.KindDialFailed {
-		t.Fatalf("want a dial failure, got %+v", failure)
+		t.Fatalf("got %+v, want a dial failure", failure)
 	}
 }
 
-// A guard that objects keeps every byte back, on a new connection and on a
-// reused one.
-func TestGuardForbidsTheWrite(t *testing.T) {
-	c := newCloser(t)
+// No byte is sent if the guard returns an error, on a new connection or a reused
+// one.
+func TestGuardPreventsWrite(t *testing.T) {
+	c := newAbortingServer(t)
 	transport := upstream.NewTransport(upstream.Config{DialTimeout: upstream.DefaultDialTimeout})
-	objection := func() error { return errors.New("paused") }
+	reject := func() error { return errors.New("paused") }
 	for _, reused := range []bool{false, true} {
 		if reused {
 			answer, failure := transport.Do(t.Context(), c.request(t, upstream.Body(nil)), nil, 0)
@@ -131,17 +131,17 @@
 		}
 		before := c.runs.Load()
 		body := io.NopCloser(strings.NewReader("payload"))
-		_, failure := transport.Do(t.Context(), c.request(t, body), objection, 0)
+		_, failure := transport.Do(t.Context(), c.request(t, body), reject, 0)
 		if failure == nil || failure.Written || errs.KindOf(failure) != errs.KindStaleHost {
-			t.Fatalf("want a forbidden write, got %+v", failure)
+			t.Fatalf("got %+v, want a write rejected by the guard", failure)
 		}
 		if c.runs.Load() != before {
-			t.Fatal("the request ran")
+			t.Fatal("the server ran a request that the guard rejected")
 		}
 	}
 }
 
-// A cancelled request that was written is told as written.
+// A request that is cancelled after it was written is reported as written.
 func TestCancelAfterWriteIsWritten(t *testing.T) {
 	arrived := make(chan struct{})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -165,6 +165,6 @@
 	}
 	_, failure := upstream.NewTransport(upstream.Config{DialTimeout: upstream.DefaultDialTimeout}).Do(ctx, req, nil, 0)
 	if failure == nil || !failure.Written || errs.KindOf(failure) != errs.KindDeadline {
-		t.Fatalf("want a deadline after the write, got %+v", failure)
+		t.Fatalf("got %+v, want a deadline failure after the write", failure)
 	}
 }
