--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -16,61 +16,64 @@
 	"github.com/pearshelf/pearshelf/internal/rendezvous"
 )
 
-// network joins tables without sockets; calls take a random time, and releases
-// may be much slower than claims.
-type network struct {
+// fakeNetwork connects tables without sockets. Calls take a random time of up to
+// delay, releases up to 20 times as long.
+type fakeNetwork struct {
 	tables map[string]*claims.Table
 	down   map[string]bool
 	delay  time.Duration
 }
 
-// lateTries of a key that is held, while slow releases arrive.
-const lateTries = 10
+// lateAttempts is the number of attempts to claim a held key while slow releases
+// arrive.
+const lateAttempts = 10
 
-type stub struct {
+type fakePeer struct {
 	peerpb.Peer
-	n    *network
+	n    *fakeNetwork
 	host string
 }
 
-func (n *network) Peer(address string) peerpb.Peer { return &stub{n: n, host: address} }
+func (n *fakeNetwork) Peer(address string) peerpb.Peer { return &fakePeer{n: n, host: address} }
 
-func (n *network) travel(d time.Duration) {
+func (n *fakeNetwork) simulateLatency(d time.Duration) {
 	if d > 0 {
 		time.Sleep(rand.N(d))
 	}
 }
 
-func (s *stub) Claim(_ context.Context, req *peerpb.ClaimRequest) (*peerpb.ClaimResponse, error) {
+func (s *fakePeer) Claim(_ context.Context, req *peerpb.ClaimRequest) (*peerpb.ClaimResponse, error) {
 	if s.n.down[s.host] {
 		return nil, errors.New("down")
 	}
-	s.n.travel(s.n.delay)
+	s.n.simulateLatency(s.n.delay)
 	key := claims.Key{Service: req.Service, Key: req.Key}
 	decision, holder := s.n.tables[s.host].Claim(key, req.RequestId, time.Duration(req.HoldMs)*time.Millisecond)
 	return &peerpb.ClaimResponse{Decision: decision, HolderRequestId: holder}, nil
 }
 
-func (s *stub) Release(_ context.Context, req *peerpb.ReleaseRequest) (*peerpb.ReleaseResponse, error) {
-	s.n.travel(20 * s.n.delay)
+func (s *fakePeer) Release(_ context.Context, req *peerpb.ReleaseRequest) (*peerpb.ReleaseResponse, error) {
+	s.n.simulateLatency(20 * s.n.delay)
 	s.n.tables[s.host].Release(claims.Key{Service: req.Service, Key: req.Key}, req.RequestId, req.Finished)
 	return &peerpb.ReleaseResponse{}, nil
 }
 
-// newNetwork returns n hosts old enough to grant.
-func newNetwork(n int, horizon, delay time.Duration) (*network, claims.Claimable) {
-	net := &network{tables: make(map[string]*claims.Table), down: make(map[string]bool), delay: delay}
+// newNetwork returns a network of n hosts that have been up long enough to grant
+// claims.
+func newNetwork(n int, horizon, delay time.Duration) (*fakeNetwork, claims.Claimable) {
+	net := &fakeNetwork{tables: make(map[string]*claims.Table), down: make(map[string]bool), delay: delay}
 	among := claims.Claimable{Addresses: make(map[string]string)}
 	for i := range n {
 		host := fmt.Sprintf("h%d", i)
-		net.tables[host] = oldTable(horizon)
+		net.tables[host] = newGrantingTable(horizon)
 		among.Hosts = append(among.Hosts, rendezvous.NewNode(host, fmt.Sprintf("dc%d", i%3)))
 		among.Addresses[host] = host
 	}
 	return net, among
 }
 
-func oldTable(horizon time.Duration) *claims.Table {
+// newGrantingTable returns the table of a host that started two horizons ago.
+func newGrantingTable(horizon time.Duration) *claims.Table {
 	var started atomic.Bool
 	return claims.NewTable(horizon, func() time.Time {
 		if started.CompareAndSwap(false, true) {
@@ -80,12 +83,13 @@
 	})
 }
 
-// Of requests with one key at one time, through different hosts and with slow
-// releases of tries that gave way, at most one gets the claim.
-func TestOneHolderUnderSlowReleases(t *testing.T) {
+// At most one of several concurrent requests with the same key, sent through
+// different hosts, gets the claim. Releases of attempts that lost arrive late and
+// must not free the key.
+func TestSingleHolderWithSlowReleases(t *testing.T) {
 	net, among := newNetwork(9, time.Minute, 2*time.Millisecond)
 	const rounds = 20
-	won := int64(0)
+	claimed := int64(0)
 	for round := range rounds {
 		var holders atomic.Int64
 		var wg sync.WaitGroup
@@ -100,24 +104,24 @@
 			})
 		}
 		wg.Wait()
-		// While the releases of tries that gave way arrive, the key stays held.
+		// The key stays held while the releases of the lost attempts arrive.
 		c := claims.NewCoordinator("h5", net.tables["h5"], net, time.Second)
-		for range lateTries {
+		for range lateAttempts {
 			if holders.Load() == 0 {
 				break
 			}
 			if _, err := c.Claim(t.Context(), among, key, "late", time.Minute); err == nil {
 				holders.Add(1)
 			}
-			net.travel(2 * net.delay)
+			net.simulateLatency(2 * net.delay)
 		}
 		if holders.Load() > 1 {
-			t.Fatalf("round %d: %d holders of one key", round, holders.Load())
+			t.Fatalf("round %d: got %d holders of one key, want at most 1", round, holders.Load())
 		}
-		won += holders.Load()
+		claimed += holders.Load()
 	}
-	if won < rounds*9/10 {
-		t.Fatalf("only %d of %d keys found a holder", won, rounds)
+	if claimed < rounds*9/10 {
+		t.Fatalf("only %d of %d keys were claimed", claimed, rounds)
 	}
 }
 
@@ -131,17 +135,17 @@
 	}
 	first.Release(false)
 	var second *claims.Claim
-	for second == nil { // the release travels in the background
+	for second == nil { // the release is delivered in the background
 		second, _ = c.Claim(t.Context(), among, key, "r2", time.Minute)
 	}
 	second.Release(true)
 	if _, err := c.Claim(t.Context(), among, key, "r3", time.Minute); errs.KindOf(err) != errs.KindClaimHeld {
-		t.Fatalf("want the key held, got %v", err)
+		t.Fatalf("got %v, want KindClaimHeld", err)
 	}
 }
 
-// The claim survives two claimants that are gone, and is refused beyond.
-func TestQuorumOfClaimants(t *testing.T) {
+// A claim succeeds with two of six voters down and is refused with three.
+func TestClaimNeedsQuorum(t *testing.T) {
 	for down, want := range map[int]errs.Kind{2: "", 3: errs.KindClaimRefused} {
 		net, among := newNetwork(6, time.Minute, 0)
 		for i := range down {
@@ -149,36 +153,37 @@
 		}
 		c := claims.NewCoordinator("h0", net.tables["h0"], net, time.Second)
 		if _, err := c.Claim(t.Context(), among, claims.Key{Service: "s", Key: "a"}, "r", time.Minute); errs.KindOf(err) != want {
-			t.Errorf("%d of 6 down: got %v", down, err)
+			t.Errorf("claim with %d of 6 voters down: got %v", down, err)
 		}
 	}
 }
 
-// Any two quorums share a host, also where the lists of claimants differ in one.
-func TestQuorumsMeet(t *testing.T) {
+// Any two quorums share a host. From four voters on, this also holds for two lists of
+// voters that differ in one host.
+func TestQuorumsIntersect(t *testing.T) {
 	for n := 1; n <= claims.Claimants; n++ {
 		q := claims.Quorum(n)
 		if 2*q <= n {
-			t.Errorf("%d claimants: two quorums of %d need not meet", n, q)
+			t.Errorf("%d voters: two quorums of %d need not intersect", n, q)
 		}
 		common := n - 1 // the hosts in both lists
 		if n >= 4 && 2*(q-1) <= common {
-			t.Errorf("%d claimants: quorums of %d over lists that differ in one host need not meet", n, q)
+			t.Errorf("%d voters: quorums of %d from lists that differ in one host need not intersect", n, q)
 		}
 	}
 }
 
-func TestYoungTableAbstains(t *testing.T) {
+func TestNewTableAbstains(t *testing.T) {
 	table := claims.NewTable(time.Minute, time.Now)
 	decision, _ := table.Claim(claims.Key{Service: "s", Key: "k"}, "r", time.Minute)
 	if decision != peerpb.ClaimResponse_DECISION_ABSTAIN {
-		t.Fatalf("a young host decided %v", decision)
+		t.Fatalf("new host voted %v, want DECISION_ABSTAIN", decision)
 	}
 }
 
-// An owner that could not get a claim releases it late; the same request may by
-// then have got its claim through another owner, and must keep it.
-func TestLateReleaseOfAnotherOwnerFreesNothing(t *testing.T) {
+// The release of a claim by one owner may arrive after the same request has claimed
+// the key through another owner. It must not free the newer claim.
+func TestLateReleaseKeepsNewerClaim(t *testing.T) {
 	net, among := newNetwork(6, time.Minute, 5*time.Millisecond)
 	key := claims.Key{Service: "s", Key: "k"}
 	first := claims.NewCoordinator("h0", net.tables["h0"], net, time.Second)
@@ -186,34 +191,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	held.Release(false) // travels for up to 100 ms
+	held.Release(false) // takes up to 100 ms to arrive
 	second := claims.NewCoordinator("h1", net.tables["h1"], net, time.Second)
 	for err = errors.New("not yet"); err != nil; {
 		_, err = second.Claim(t.Context(), among, key, "request", time.Minute)
 	}
 	third := claims.NewCoordinator("h2", net.tables["h2"], net, time.Second)
-	for range 3 * lateTries {
+	for range 3 * lateAttempts {
 		if _, err := third.Claim(t.Context(), among, key, "other", time.Minute); err == nil {
-			t.Fatal("a late release freed a key that is held")
+			t.Fatal("late release freed a held key")
 		}
-		net.travel(2 * net.delay)
+		net.simulateLatency(2 * net.delay)
 	}
 }
 
-// With a claimant gone, a holder's quorum shows on three hosts only. A request
-// of lower identity then asks on; it must give up well before the finished key
-// is forgotten, or it would run a second time.
-func TestAskingEndsBeforeTheHorizon(t *testing.T) {
+// With one voter down, only three hosts report the holder of a key, which is less
+// than a quorum, and a request with a lower ID keeps retrying. It must stop before
+// the finished key expires, or the request would run a second time.
+func TestClaimStopsRetryingBeforeHorizon(t *testing.T) {
 	const horizon = 200 * time.Millisecond
 	net, among := newNetwork(6, horizon, 0)
 	key := claims.Key{Service: "s", Key: "k"}
-	for _, host := range []string{"h0", "h1", "h2", "h3"} { // a quorum that has run
+	for _, host := range []string{"h0", "h1", "h2", "h3"} { // a quorum for a finished request
 		net.tables[host].Claim(key, "z-high", time.Minute)
 		net.tables[host].Release(key, "z-high", true)
 	}
 	net.down["h3"] = true
 	other := claims.NewCoordinator("h5", net.tables["h5"], net, 10*horizon)
 	if _, err := other.Claim(t.Context(), among, key, "a-low", time.Minute); errs.KindOf(err) != errs.KindClaimHeld {
-		t.Fatalf("want the key held, got %v", err)
+		t.Fatalf("got %v, want KindClaimHeld", err)
 	}
 }
--- a/internal/claims/coordinator.go
+++ b/internal/claims/coordinator.go
@@ -16,23 +16,25 @@
 )
 
 const (
-	// Claimants is the number of hosts asked for a key, spread over the data
-	// centres.
+	// Claimants is the maximum number of hosts that vote on a key. They are spread
+	// over the data centres.
 	Claimants = 6
 
-	// HoldBeyond is added to a request's deadline for an unfinished claim, so
-	// that a host that freezes before its write and wakes late still finds the
-	// key taken by itself alone.
-	HoldBeyond = 15 * time.Minute
+	// HoldMargin is added to the time until a request's deadline to get the lifetime
+	// of an unfinished claim. A host that is paused just before it writes the request
+	// and resumes late thereby still holds the key.
+	HoldMargin = 15 * time.Minute
 
 	releaseTimeout = 2 * time.Second
 
-	// splitBackoff is the wait for other requests with the key to give way.
-	splitBackoff = 5 * time.Millisecond
+	// contentionBackoff is the delay before a retry when no request has a quorum, in
+	// which competing requests release their votes.
+	contentionBackoff = 5 * time.Millisecond
 )
 
-// Quorum returns how many of n claimants must grant: any two quorums meet,
-// also where the two claimants' lists differ in one host, from four on.
+// Quorum returns how many of n voters must grant a claim. Any two quorums of the
+// same voters intersect. From four voters on, they also do if two hosts' lists of
+// voters differ in one host.
 //
 //	n        1  2  3  4  5  6
 //	quorum   1  2  2  3  4  4
@@ -49,12 +51,12 @@
 	}
 }
 
-// PeerClient returns the client of a host's peer listener.
+// PeerClient returns RPC clients for the peer listeners of other hosts.
 type PeerClient interface {
 	Peer(address string) peerpb.Peer
 }
 
-// Coordinator claims keys for the requests of one host.
+// Coordinator claims keys on behalf of the requests that one host processes.
 type Coordinator struct {
 	self    string
 	table   *Table
@@ -62,20 +64,22 @@
 	timeout time.Duration
 }
 
-// NewCoordinator returns a coordinator that grants from table for itself.
+// NewCoordinator returns a coordinator for the host self, whose own votes come from
+// table. timeout limits the RPCs of one claim.
 func NewCoordinator(self string, table *Table, peers PeerClient, timeout time.Duration) *Coordinator {
 	return &Coordinator{self: self, table: table, peers: peers, timeout: timeout}
 }
 
-// Claim is a key that this host holds for one request.
+// Claim is a claim on a key, held by this host for one request.
 type Claim struct {
 	coordinator *Coordinator
 	key         Key
 	id          string
 	addresses   map[string]string
-	asked       sync.WaitGroup
+	pending     sync.WaitGroup
 }
 
+// vote is the response of one host to a claim.
 type vote struct {
 	host     string
 	decision peerpb.ClaimResponse_Decision
@@ -83,29 +87,28 @@
 	err      error
 }
 
-// Claimable is the hosts among which a key is spread, with their addresses by name. All hosts
-// must name the same ones for a key.
+// Claimable is the set of hosts from which the voters on a key are chosen, with their
+// addresses by host name. All hosts must use the same set for a key.
 type Claimable struct {
 	Hosts     []rendezvous.Node
 	Addresses map[string]string
 }
 
-// Claim asks the claimants of a key. It returns a typed error if another
-// request holds it (KindClaimHeld) or no quorum answered (KindClaimRefused); in
-// both cases nothing stays claimed for the request.
+// Claim claims a key for a request. It returns a typed error if another request
+// holds the key (KindClaimHeld) or no quorum granted it (KindClaimRefused). In both
+// cases it releases any votes that the request has.
 //
-// Requests that come at the same moment may split the claimants. The one with
-// the lowest identity then keeps what it has and asks again, the others give
-// way, so that one of them gets the quorum.
-func (c *Coordinator) Claim(ctx context.Context, among Claimable, key Key, requestID string, hold time.Duration) (*Claim, error) {
-	held, hosts := c.newClaim(among, key, requestID)
-	// Answers that come after the quorum are still waited for, so that a
-	// release never overtakes its claim.
+// Concurrent requests may split the vote. The one with the lowest ID then keeps its
+// votes and retries, and the others release theirs, so that one gets the quorum.
+func (c *Coordinator) Claim(ctx context.Context, candidates Claimable, key Key, requestID string, hold time.Duration) (*Claim, error) {
+	held, voters := c.newClaim(candidates, key, requestID)
+	// Responses that arrive after the quorum are still awaited, so that a release is
+	// never sent before its claim has been processed.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.timeout)
-	b := &ballot{claim: held, hosts: hosts, quorum: Quorum(len(hosts)), hold: hold}
+	b := &ballot{claim: held, voters: voters, quorum: Quorum(len(voters)), hold: hold}
 	err := b.run(ctx)
 	go func() {
-		held.asked.Wait()
+		held.pending.Wait()
 		cancel()
 	}()
 	if err != nil {
@@ -115,10 +118,10 @@
 	return held, nil
 }
 
-// newClaim names the claimants. The identity is new for each call, because a
-// late release of one call must not free the next.
-func (c *Coordinator) newClaim(among Claimable, key Key, requestID string) (*Claim, []string) {
-	hosts := rendezvous.Spread(key.Service+"/"+key.Key, among.Hosts, Claimants)
+// newClaim returns a new claim and its voters. The claim's ID is unique to the call,
+// so that a late release by an earlier call for the same request cannot free it.
+func (c *Coordinator) newClaim(candidates Claimable, key Key, requestID string) (*Claim, []string) {
+	hosts := rendezvous.Spread(key.Service+"/"+key.Key, candidates.Hosts, Claimants)
 	cl := &Claim{
 		coordinator: c,
 		key:         key,
@@ -126,65 +129,65 @@
 		addresses:   make(map[string]string, len(hosts)),
 	}
 	for _, host := range hosts {
-		cl.addresses[host] = among.Addresses[host]
+		cl.addresses[host] = candidates.Addresses[host]
 	}
 	return cl, hosts
 }
 
-// ballot collects the claimants' votes on one claim.
+// ballot collects the votes on one claim.
 type ballot struct {
 	claim   *Claim
-	hosts   []string // not granted yet
+	voters  []string // hosts that have not granted the claim yet
 	granted int
 	quorum  int
 	hold    time.Duration
 }
 
-// run asks until a quorum has granted or the claim is lost: to a request that
-// has the quorum itself, or to one with a lower identity.
+// run requests votes until a quorum has granted the claim or the claim is lost to a
+// request that has a quorum or a lower ID.
 //
-// It asks on for half a horizon at most: a key that was held when it began must
-// not be taken after its holder has finished and been forgotten.
+// It retries for at most half the horizon. A later retry could claim the key of a
+// request that has finished and expired in the meantime, and run it again.
 func (b *ballot) run(ctx context.Context) error {
-	giveUp := time.Now().Add(b.claim.coordinator.table.horizon / 2)
+	deadline := time.Now().Add(b.claim.coordinator.table.horizon / 2)
 	for {
 		holders := b.round(ctx)
 		if b.granted >= b.quorum {
 			return nil
 		}
 		if len(holders) == 0 {
-			return errs.New(errs.KindClaimRefused, "the idempotency key could not be secured over the fleet", "repeat the request with the same key after the time in Retry-After")
+			return errs.New(errs.KindClaimRefused, "no quorum of hosts granted the idempotency key", "repeat the request with the same key after the time in Retry-After")
 		}
-		lowest := slices.Min(slices.Collect(maps.Keys(holders)))
-		if lowest < b.claim.id || ctx.Err() != nil || time.Now().After(giveUp) {
-			return heldError(lowest)
+		lowestID := slices.Min(slices.Collect(maps.Keys(holders)))
+		if lowestID < b.claim.id || ctx.Err() != nil || time.Now().After(deadline) {
+			return heldError(lowestID)
 		}
 		for holder, hosts := range holders {
 			if hosts >= b.quorum {
 				return heldError(holder)
 			}
 		}
-		time.Sleep(splitBackoff)
+		time.Sleep(contentionBackoff)
 	}
 }
 
-// round asks every host that has not granted, and returns the other holders of
-// the key with the number of hosts where they hold it. It returns as soon as
-// the quorum is reached.
+// round requests a vote from every host that has not granted the claim. It returns
+// the other holders of the key with the number of hosts that report each. It returns
+// early once the quorum is reached.
 func (b *ballot) round(ctx context.Context) map[string]int {
-	asking := b.hosts
-	b.hosts = nil
-	votes := make(chan vote, len(asking))
-	for _, host := range asking {
-		b.claim.asked.Go(func() { votes <- b.claim.ask(ctx, host, b.hold) })
+	remaining := b.voters
+	b.voters = nil
+	votes := make(chan vote, len(remaining))
+	for _, host := range remaining {
+		b.claim.pending.Go(func() { votes <- b.claim.requestVote(ctx, host, b.hold) })
 	}
 	holders := make(map[string]int)
-	for range asking {
+	for range remaining {
 		v := <-votes
 		if v.err == nil && v.decision == peerpb.ClaimResponse_DECISION_GRANTED {
 			b.granted++
 		} else {
-			b.hosts = append(b.hosts, v.host)
+			b.voters = append(b.voters, v.host)
 		}
 		if v.err == nil && v.decision == peerpb.ClaimResponse_DECISION_HELD {
 			holders[v.holder]++
@@ -197,12 +200,12 @@
 }
 
 func heldError(holder string) error {
-	return errs.New(errs.KindClaimHeld, "another request with this idempotency key is running or has run, as "+holder, "ask for the outcome of that request before sending a new key")
+	return errs.New(errs.KindClaimHeld, "another request with this idempotency key is running or has run: "+holder, "query the outcome of that request before sending a new key")
 }
 
-func (cl *Claim) ask(ctx context.Context, host string, hold time.Duration) vote {
+func (cl *Claim) requestVote(ctx context.Context, host string, hold time.Duration) vote {
 	c := cl.coordinator
-	hold += HoldBeyond
+	hold += HoldMargin
 	if host == c.self {
 		decision, holder := c.table.Claim(cl.key, cl.id, hold)
 		return vote{host: host, decision: decision, holder: holder}
@@ -217,21 +220,23 @@
 	return vote{host: host, decision: resp.GetDecision(), holder: resp.GetHolderRequestId(), err: err}
 }
 
-// Release ends the claim in the background: finished keys are remembered for
-// the horizon, others can be claimed again.
+// Release ends the claim. Other hosts are notified in the background. The key of a
+// finished request stays held for the horizon; others can be claimed again.
 func (cl *Claim) Release(finished bool) {
 	c := cl.coordinator
 	c.table.Release(cl.key, cl.id, finished)
 	for host, address := range cl.addresses {
 		if host != c.self {
 			go func() {
-				cl.asked.Wait()
+				cl.pending.Wait()
 				cl.releaseAt(address, finished)
 			}()
 		}
 	}
 }
 
+// releaseAt releases the claim at one other host. If that fails, the claim expires
+// there.
 func (cl *Claim) releaseAt(address string, finished bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
@@ -242,6 +247,6 @@
 		Finished:  finished,
 	})
 	if err != nil {
-		klog.V(3).InfoS("claim release not delivered; it ends by time", "address", address, "err", err)
+		klog.V(3).InfoS("claim release not delivered; the claim will expire", "address", address, "err", err)
 	}
 }
--- a/internal/claims/table.go
+++ b/internal/claims/table.go
@@ -1,9 +1,9 @@
-// Package claims lets a non-idempotent request with an idempotency key run at
-// most once over the whole fleet. A host claims the key from the hosts that a
-// rendezvous hash names for it, and writes to a backend server only after a
-// quorum has granted. Claims live in memory for a short horizon; a host
-// younger than the horizon abstains, because it cannot know what its
-// predecessor granted.
+// Package claims ensures that a non-idempotent request with an idempotency key
+// runs at most once in the whole fleet. A host claims the key from a set of hosts
+// chosen by rendezvous hashing, the voters, and sends the request to a backend
+// server only after a quorum of them has granted the claim. Claims are kept in
+// memory for a limited time, the horizon. A host that has been up for less than the
+// horizon abstains, because it does not know what it granted before its restart.
 package claims
 
 import (
@@ -13,18 +13,19 @@
 	"github.com/pearshelf/pearshelf/internal/api/peerpb"
 )
 
-// MaxClaims bounds the table. A full table abstains rather than forget.
+// MaxClaims limits the claims in a table. A full table abstains from new claims and
+// evicts none.
 const MaxClaims = 200_000
 
-// sweepEvery is how many grants pass between sweeps of expired claims.
-const sweepEvery = 1024
+// grantsPerSweep is the number of grants after which expired entries are swept.
+const grantsPerSweep = 1024
 
-// overtakenFor is how long at least a release is remembered whose claim has not
-// arrived: a request between hosts gives up after releaseTimeout, and may then still
-// wait in a busy host.
-const overtakenFor = 10 * time.Second
+// minTombstoneTTL is the minimum time for which the release of an unknown claim is
+// kept, in case the claim arrives later. The sender's RPC times out after
+// releaseTimeout, but the call may still be queued at a busy host.
+const minTombstoneTTL = 10 * time.Second
 
-// Key identifies a request of a service over repeats by the caller.
+// Key identifies a request to a service across retries by the caller.
 type Key struct {
 	Service string
 	Key     string
@@ -35,7 +36,7 @@
 	expires   time.Time
 }
 
-// Table is the claims that one host has granted. It is safe for concurrent use.
+// Table holds the claims that one host has granted. It is safe for concurrent use.
 type Table struct {
 	horizon   time.Duration
 	startedAt time.Time
@@ -43,31 +44,32 @@
 
 	mu   sync.Mutex
 	held map[Key]claim
-	// released are claims by identity that were released before they arrived, until
-	// when that is remembered.
-	released map[string]time.Time
-	grants   int
+	// tombstones holds the IDs of claims that were released before they arrived, with
+	// the expiry of each entry.
+	tombstones map[string]time.Time
+	grants     int
 }
 
-// NewTable returns an empty table of a host that starts now. The clock is a
-// parameter for tests.
+// NewTable returns an empty table for a host that starts at the time now returns.
+// The clock is a parameter for tests.
 func NewTable(horizon time.Duration, now func() time.Time) *Table {
 	return &Table{
-		horizon:   horizon,
-		startedAt: now(),
-		now:       now,
-		held:      make(map[Key]claim),
-		released:  make(map[string]time.Time),
+		horizon:    horizon,
+		startedAt:  now(),
+		now:        now,
+		held:       make(map[Key]claim),
+		tombstones: make(map[string]time.Time),
 	}
 }
 
-// Claim asks for a key on behalf of a request. The claim is kept for hold, or
-// until Release.
+// Claim decides on the claim of a request to a key and returns the request that
+// holds the key, if known. A granted claim lasts for hold, at least for the horizon,
+// or until Release.
 func (t *Table) Claim(key Key, requestID string, hold time.Duration) (decision peerpb.ClaimResponse_Decision, holder string) {
 	now := t.now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now.Before(t.released[requestID]) {
+	if now.Before(t.tombstones[requestID]) {
 		return peerpb.ClaimResponse_DECISION_ABSTAIN, ""
 	}
 	held, ok := t.held[key]
@@ -85,16 +87,17 @@
 	return peerpb.ClaimResponse_DECISION_GRANTED, requestID
 }
 
-// Release ends a request's claim. A finished one is remembered for the horizon
-// from now; one that did not run is forgotten, so that the caller can repeat.
+// Release ends a request's claim. If the request has finished, the key stays held
+// for the horizon from now on. If it did not run, the claim is removed, so that the
+// caller can retry.
 func (t *Table) Release(key Key, requestID string, finished bool) {
 	now := t.now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	held, ok := t.held[key]
 	if !ok || held.requestID != requestID {
-		if len(t.released) < MaxClaims {
-			t.released[requestID] = now.Add(max(t.horizon, overtakenFor))
+		if len(t.tombstones) < MaxClaims {
+			t.tombstones[requestID] = now.Add(max(t.horizon, minTombstoneTTL))
 		}
 		return
 	}
@@ -105,16 +108,18 @@
 	t.held[key] = claim{requestID: requestID, expires: now.Add(t.horizon)}
 }
 
-// Len returns the number of claims held, expired ones included.
+// Len returns the number of claims, including expired ones not yet swept.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.held)
 }
 
+// sweep removes expired claims and tombstones once every grantsPerSweep calls. t.mu
+// must be held.
 func (t *Table) sweep(now time.Time) {
 	t.grants++
-	if t.grants%sweepEvery != 0 {
+	if t.grants%grantsPerSweep != 0 {
 		return
 	}
 	for key, held := range t.held {
@@ -122,9 +127,9 @@
 			delete(t.held, key)
 		}
 	}
-	for id, expires := range t.released {
+	for id, expires := range t.tombstones {
 		if !now.Before(expires) {
-			delete(t.released, id)
+			delete(t.tombstones, id)
 		}
 	}
 }
--- a/internal/claims/table_test.go
+++ b/internal/claims/table_test.go
@@ -8,25 +8,26 @@
 	"github.com/pearshelf/pearshelf/internal/api/peerpb"
 )
 
-// On a busy host a claim may arrive behind its own release: whoever asked has given
-// up, and nobody would release it again.
-func TestClaimBehindItsRelease(t *testing.T) {
+// A busy host may process a claim after its release. Granting it would leave the key
+// held until it expires, because the requester has given up and sends no further
+// release.
+func TestClaimArrivingAfterItsRelease(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := NewTable(time.Second, func() time.Time { return now })
 	now = now.Add(time.Minute)
 	key := Key{Service: "s", Key: "k"}
 	table.Release(key, "late", false)
 	if decision, _ := table.Claim(key, "late", time.Second); decision != peerpb.ClaimResponse_DECISION_ABSTAIN {
-		t.Errorf("a claim behind its release: %s", decision)
+		t.Errorf("claim after its release: got %s, want DECISION_ABSTAIN", decision)
 	}
 	if decision, _ := table.Claim(key, "next", time.Second); decision != peerpb.ClaimResponse_DECISION_GRANTED {
-		t.Errorf("the next claim of the key: %s", decision)
+		t.Errorf("next claim of the key: got %s, want DECISION_GRANTED", decision)
 	}
 	now = now.Add(time.Hour)
-	for i := range sweepEvery {
+	for i := range grantsPerSweep {
 		table.Claim(Key{Service: "s", Key: fmt.Sprint(i)}, "r", time.Second)
 	}
-	if n := len(table.released); n != 0 {
-		t.Errorf("%d released claims remembered after an hour", n)
+	if n := len(table.tombstones); n != 0 {
+		t.Errorf("got %d tombstones after an hour, want 0", n)
 	}
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -61,7 +61,7 @@
 mutant "witnesses" internal/system/detection/judge.go 's/return live <= 1 || e.witnessed(now)/return true/' ./experiment/detection -run NoFalse
 mutant "peers' score" internal/system/detection/score.go 's/peerFactor = 3/peerFactor = 0/' ./experiment/detection -run NoFalse
 mutant "gossip reaches all" internal/gossip/queue.go "s/extraTransmits = 8/extraTransmits = 0/" ./internal/membership
-mutant "asking ends" internal/claims/coordinator.go "s/time.Now().After(giveUp)/giveUp.IsZero()/" ./internal/claims
+mutant "asking ends" internal/claims/coordinator.go "s/time.Now().After(deadline)/deadline.IsZero()/" ./internal/claims
 mutant "stand-in for a silent reader" internal/system/configsync/takeover.go 's/silent > silentAfter/silent > time.Hour/' ./internal/system/configsync
 mutant "stand-in for a stale reader" internal/system/configsync/takeover.go 's/stale > due/stale > due+time.Hour/' ./internal/system/configsync
 mutant "grace for lapsed registrations" internal/system/configsync/absence.go 's/if grace <= 0 || b.Leaving {/if true {/' ./internal/system/configsync
