--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -1,5 +1,5 @@
-// Package balance is the shell of package policy on a host: it holds the lock and
-// the clock, and wakes whoever tells other hosts what was learnt.
+// Package balance makes package policy usable in the daemon. It adds locking and a
+// clock, and signals when there are changes to report to other hosts.
 package balance
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// Table is one host's policy.Table, safe for concurrent use.
+// Table wraps the policy.Table of one host. It is safe for concurrent use.
 type Table struct {
 	clock   func() time.Time
 	life    uint64
@@ -22,7 +22,8 @@
 	table *policy.Table
 }
 
-// NewTable returns the table of a host that starts now, by clock.
+// NewTable returns the table of a host that starts now, as given by clock. If
+// conf.Random is nil, a randomly seeded source is used.
 func NewTable(clock func() time.Time, conf policy.Config) *Table {
 	if conf.Random == nil {
 		conf.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
@@ -35,10 +36,12 @@
 	}
 }
 
-// Life tells one start of this host from the next.
+// Life returns a random ID that distinguishes this run of the host from earlier and
+// later ones.
 func (t *Table) Life() uint64 { return t.life }
 
-// Changed receives after the table has something to tell other hosts.
+// Changed returns a channel that receives after the table has changes to report to
+// other hosts. Signals that are not yet received are merged into one.
 func (t *Table) Changed() <-chan struct{} { return t.changed }
 
 func (t *Table) notify() {
@@ -48,14 +51,14 @@
 	}
 }
 
-// Lease is a request's place at a server until Finish.
+// Lease is the placement of a request at a server, which lasts until Finish.
 type Lease struct {
 	*policy.Placement
 	table *Table
 	once  sync.Once
 }
 
-// Finish ends the request and notes what was learnt. Further calls do nothing.
+// Finish ends the placement and records the outcome. Further calls do nothing.
 func (l *Lease) Finish(done policy.Done) {
 	l.once.Do(func() {
 		l.table.mu.Lock()
@@ -65,7 +68,8 @@
 	})
 }
 
-// Pick gives the request a place at a server, or says in a typed error why not.
+// Pick places a request at a server. If there is none for it, the typed error says
+// why.
 func (t *Table) Pick(view *world.ServiceView, req policy.Request) (*Lease, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -77,16 +81,16 @@
 	return &Lease{Placement: placement, table: t}, nil
 }
 
-// Review says whether a request that waits at a server should have a copy now, and
-// if not, when to ask again; 0 for never.
+// Review reports whether a copy of a request that is waiting for a server should be
+// sent now. If not, after is the time until the next Review, 0 for none.
 func (t *Table) Review(view *world.ServiceView, req policy.Request, lease *Lease) (copyNow bool, after time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.table.Review(t.clock(), view, req, lease.Placement)
 }
 
-// Trial gives a copy of an idempotent request a place at a server that is believed to
-// fail, if one is due.
+// Trial places a copy of an idempotent request at a server that is presumed to be
+// failing, if a trial is due.
 func (t *Table) Trial(view *world.ServiceView, req policy.Request) (*Lease, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -98,7 +102,7 @@
 	return &Lease{Placement: placement, table: t}, true
 }
 
-// NoteLimited counts a request that was refused beyond its customer's limit.
+// NoteLimited counts a request that was refused because of its customer's limit.
 func (t *Table) NoteLimited(service string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,37 +110,38 @@
 	t.notify()
 }
 
-// UseChanges returns the servers that have fallen out of use or are in use again since it was
-// last called.
+// UseChanges returns the servers that have gone out of use or come back into use since
+// the last call.
 func (t *Table) UseChanges(view *world.ServiceView, req policy.Request) []policy.UseChange {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.table.UseChanges(t.clock(), view, req)
 }
 
-// RetryAfter is when a refused request should come back.
+// RetryAfter returns how long the caller of a refused request should wait before it
+// retries.
 func (t *Table) RetryAfter(service string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.table.RetryAfter(service)
 }
 
-// AllowRetry reports whether a request of a service may be sent again.
+// AllowRetry reports whether a request to a service may be retried.
 func (t *Table) AllowRetry(service string, fleet policy.Fleet) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.table.AllowRetry(t.clock(), service, fleet)
 }
 
-// Changes returns what must be told: near to the hosts of this data centre,
-// failing to all others.
+// Changes returns the rows that are due to be reported: near to the hosts of this data
+// centre, failing to all other hosts.
 func (t *Table) Changes() (near, failing []*peerpb.BackendLoad) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.table.Changes(t.clock())
 }
 
-// Refresh marks what must be told again.
+// Refresh marks the rows that are due to be reported again.
 func (t *Table) Refresh() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -145,14 +150,16 @@
 	}
 }
 
-// Report takes what another host told in one of its lives.
+// Report applies the rows that another host reported. life is that host's Life. near is
+// set if that host reports all its requests to this one; its in-flight counts are used
+// only then.
 func (t *Table) Report(host string, life uint64, loads []*peerpb.BackendLoad, near bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.table.Report(t.clock(), host, life, loads, near)
 }
 
-// Stats returns a row per service.
+// Stats returns the statistics of each service.
 func (t *Table) Stats() []policy.ServiceStats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/slots/pick.go
+++ b/internal/slots/pick.go
@@ -9,49 +9,57 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
+// server is the state of one backend server on this host.
 type server struct {
 	view     world.BackendView
 	inFlight int
-	// others is the load last reported for other hosts, usual its average.
-	others   float64
-	usual    float64
-	othersAt time.Time
+	// otherLoad is the load from other hosts as last reported, at reportedAt.
+	// avgOtherLoad is its moving average.
+	otherLoad    float64
+	avgOtherLoad float64
+	reportedAt   time.Time
 }
 
-// load estimates how many requests the server serves now: a report loses its
-// weight with age in favour of the usual load of the other hosts.
+// load estimates the number of requests that the server is processing. The weight of
+// the last report decays with its age in favour of the average load from other hosts.
 func (s *server) load(now time.Time) float64 {
-	weight := math.Exp2(-float64(now.Sub(s.othersAt)) / float64(reportHalfLife))
-	return float64(s.inFlight) + s.usual + (s.others-s.usual)*weight
+	weight := math.Exp2(-float64(now.Sub(s.reportedAt)) / float64(reportHalfLife))
+	return float64(s.inFlight) + s.avgOtherLoad + (s.otherLoad-s.avgOtherLoad)*weight
 }
 
-// room says whether a server may take one more.
-type room func(s *server, load float64) bool
+// capacityCheck reports whether a server, at its estimated load, can take another
+// request.
+type capacityCheck func(s *server, load float64) bool
 
-// hasOwnSlot is exact: no other owner uses these slots unless it borrows.
-func (s *server) hasOwnSlot(float64) bool { return s.inFlight < s.view.Share }
+// hasOwnedSlot reports whether one of this host's own slots is free. It needs no
+// estimate, as other owners use these slots only by borrowing.
+func (s *server) hasOwnedSlot(float64) bool { return s.inFlight < s.view.Share }
 
-// hasRoom goes by the load that was reported.
-func (s *server) hasRoom(load float64) bool {
+// hasReportedCapacity reports whether a slot is free according to the load estimated
+// from the server's reports.
+func (s *server) hasReportedCapacity(load float64) bool {
 	return s.inFlight < s.view.Slots && load <= float64(s.view.Slots)-borrowMargin
 }
 
-func (p *Pool) pick(now time.Time, req Request, has room) *server {
+// pick returns an eligible server with capacity, or nil. It prefers the session's server
+// if the service has session affinity, and else the least loaded one.
+func (p *Pool) pick(now time.Time, req Request, hasCapacity capacityCheck) *server {
 	if len(p.view.Backends) == 0 {
 		return nil
 	}
 	if req.Session != "" && p.view.Config.SessionAffinity {
-		return p.pickSession(now, req, has)
+		return p.pickForSession(now, req, hasCapacity)
 	}
-	if best := p.pickLeast(now, req, has, true); best != nil {
+	if best := p.pickLeastLoaded(now, req, hasCapacity, true); best != nil {
 		return best
 	}
-	return p.pickLeast(now, req, has, false)
+	return p.pickLeastLoaded(now, req, hasCapacity, false)
 }
 
-// pickLeast returns the least loaded eligible server. If weighted, servers of
-// less than full weight are passed over at random in proportion.
-func (p *Pool) pickLeast(now time.Time, req Request, has room, weighted bool) *server {
+// pickLeastLoaded returns the eligible server with capacity that has the lowest load
+// per slot. If weighted, a server with a weight below 1 is considered only with that
+// probability.
+func (p *Pool) pickLeastLoaded(now time.Time, req Request, hasCapacity capacityCheck, weighted bool) *server {
 	var best *server
 	bestLoad := 0.0
 	start := rand.IntN(len(p.view.Backends))
@@ -62,7 +70,7 @@
 		}
 		s := p.servers[b.ID]
 		load := s.load(now)
-		if !has(s, load) {
+		if !hasCapacity(s, load) {
 			continue
 		}
 		relative := load / float64(b.Slots)
@@ -73,8 +81,9 @@
 	return best
 }
 
-// pickSession returns the first server in the session's ranking with room.
-func (p *Pool) pickSession(now time.Time, req Request, has room) *server {
+// pickForSession returns the first server with capacity in the session's rendezvous
+// ranking.
+func (p *Pool) pickForSession(now time.Time, req Request, hasCapacity capacityCheck) *server {
 	nodes := make([]rendezvous.Node, 0, len(p.view.Backends))
 	for i := range p.view.Backends {
 		if eligible(&p.view.Backends[i], req) {
@@ -83,7 +92,7 @@
 	}
 	for _, id := range rendezvous.Top(req.Session, nodes, len(nodes)) {
 		s := p.servers[id]
-		if has(s, s.load(now)) {
+		if hasCapacity(s, s.load(now)) {
 			return s
 		}
 	}
--- a/internal/slots/pool_test.go
+++ b/internal/slots/pool_test.go
@@ -11,39 +11,39 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// A request that waits for a slot is refused at once when no server takes requests any more,
-// as they report, and none is given a slot that becomes free then.
-func TestWaitingRequestIsRefusedWhenServersTakeNone(t *testing.T) {
+// A waiting request is refused without further delay once every server reports that it
+// accepts no requests. A slot that becomes free afterwards must not be allocated.
+func TestWaitingRequestFailsWhenNoServerIsAvailable(t *testing.T) {
 	pool := NewPool()
 	view := &world.ServiceView{
 		Config:   &config.Service{Name: "shop", Queue: 10, QueueWait: config.Duration(time.Hour)},
 		Backends: []world.BackendView{{ID: "b1", Slots: 1, Share: 1, Weight: 1}},
 	}
-	var away atomic.Bool
-	req := Request{Deadline: time.Now().Add(time.Hour), Available: func(*world.BackendView) bool { return !away.Load() }}
+	var unavailable atomic.Bool
+	req := Request{Deadline: time.Now().Add(time.Hour), Available: func(*world.BackendView) bool { return !unavailable.Load() }}
 	first, err := pool.Acquire(context.Background(), view, req)
 	if err != nil {
 		t.Fatal(err)
 	}
-	refused := make(chan error)
+	secondErr := make(chan error)
 	go func() {
 		_, err := pool.Acquire(context.Background(), view, req)
-		refused <- err
+		secondErr <- err
 	}()
-	for !pool.someoneWaits() {
+	for !pool.hasWaiters() {
 		time.Sleep(time.Millisecond)
 	}
-	away.Store(true)
-	if err := <-refused; errs.KindOf(err) != errs.KindNoBackend {
-		t.Errorf("refused with %v", err)
+	unavailable.Store(true)
+	if err := <-secondErr; errs.KindOf(err) != errs.KindNoBackend {
+		t.Errorf("waiting request: got %v, want KindNoBackend", err)
 	}
 	first.Release()
 	if _, err := pool.Acquire(context.Background(), view, req); errs.KindOf(err) != errs.KindNoBackend {
-		t.Errorf("a free slot of a server that takes no requests is given: %v", err)
+		t.Errorf("request to an unavailable server with a free slot: got %v, want KindNoBackend", err)
 	}
 }
 
-func (p *Pool) someoneWaits() bool {
+func (p *Pool) hasWaiters() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.waiting) > 0
