--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -150,9 +150,9 @@
 	}
 }
 
-// Report applies the rows that another host reported. life is that host's Life. near is
-// set if that host reports all its requests to this one; its in-flight counts are used
-// only then.
+// Report applies the rows that another host reported. life identifies the run of that
+// host. near is set if that host reports all its requests to this one; its in-flight
+// counts are used only then.
 func (t *Table) Report(host string, life uint64, loads []*peerpb.BackendLoad, near bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -62,14 +62,14 @@
 // claims.
 func newNetwork(n int, horizon, delay time.Duration) (*fakeNetwork, claims.Claimable) {
 	net := &fakeNetwork{tables: make(map[string]*claims.Table), down: make(map[string]bool), delay: delay}
-	among := claims.Claimable{Addresses: make(map[string]string)}
+	candidates := claims.Claimable{Addresses: make(map[string]string)}
 	for i := range n {
 		host := fmt.Sprintf("h%d", i)
 		net.tables[host] = newGrantingTable(horizon)
-		among.Hosts = append(among.Hosts, rendezvous.NewNode(host, fmt.Sprintf("dc%d", i%3)))
-		among.Addresses[host] = host
+		candidates.Hosts = append(candidates.Hosts, rendezvous.NewNode(host, fmt.Sprintf("dc%d", i%3)))
+		candidates.Addresses[host] = host
 	}
-	return net, among
+	return net, candidates
 }
 
 // newGrantingTable returns the table of a host that started two horizons ago.
@@ -87,7 +87,7 @@
 // different hosts, gets the claim. Releases of attempts that lost arrive late and
 // must not free the key.
 func TestSingleHolderWithSlowReleases(t *testing.T) {
-	net, among := newNetwork(9, time.Minute, 2*time.Millisecond)
+	net, candidates := newNetwork(9, time.Minute, 2*time.Millisecond)
 	const rounds = 20
 	claimed := int64(0)
 	for round := range rounds {
@@ -98,7 +98,7 @@
 			host := fmt.Sprintf("h%d", i)
 			c := claims.NewCoordinator(host, net.tables[host], net, time.Second)
 			wg.Go(func() {
-				if _, err := c.Claim(t.Context(), among, key, fmt.Sprint("request-", i), time.Minute); err == nil {
+				if _, err := c.Claim(t.Context(), candidates, key, fmt.Sprint("request-", i), time.Minute); err == nil {
 					holders.Add(1)
 				}
 			})
@@ -110,7 +110,7 @@
 			if holders.Load() == 0 {
 				break
 			}
-			if _, err := c.Claim(t.Context(), among, key, "late", time.Minute); err == nil {
+			if _, err := c.Claim(t.Context(), candidates, key, "late", time.Minute); err == nil {
 				holders.Add(1)
 			}
 			net.simulateLatency(2 * net.delay)
@@ -126,20 +126,20 @@
 }
 
 func TestReleasedKeyCanBeClaimedAgainButFinishedCannot(t *testing.T) {
-	net, among := newNetwork(6, time.Minute, 0)
+	net, candidates := newNetwork(6, time.Minute, 0)
 	c := claims.NewCoordinator("h0", net.tables["h0"], net, time.Second)
 	key := claims.Key{Service: "s", Key: "k"}
-	first, err := c.Claim(t.Context(), among, key, "r1", time.Minute)
+	first, err := c.Claim(t.Context(), candidates, key, "r1", time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
 	first.Release(false)
 	var second *claims.Claim
 	for second == nil { // the release is delivered in the background
-		second, _ = c.Claim(t.Context(), among, key, "r2", time.Minute)
+		second, _ = c.Claim(t.Context(), candidates, key, "r2", time.Minute)
 	}
 	second.Release(true)
-	if _, err := c.Claim(t.Context(), among, key, "r3", time.Minute); errs.KindOf(err) != errs.KindClaimHeld {
+	if _, err := c.Claim(t.Context(), candidates, key, "r3", time.Minute); errs.KindOf(err) != errs.KindClaimHeld {
 		t.Fatalf("got %v, want KindClaimHeld", err)
 	}
 }
@@ -147,12 +147,12 @@
 // A claim succeeds with two of six voters down and is refused with three.
 func TestClaimNeedsQuorum(t *testing.T) {
 	for down, want := range map[int]errs.Kind{2: "", 3: errs.KindClaimRefused} {
-		net, among := newNetwork(6, time.Minute, 0)
+		net, candidates := newNetwork(6, time.Minute, 0)
 		for i := range down {
 			net.down[fmt.Sprintf("h%d", i+1)] = true
 		}
 		c := claims.NewCoordinator("h0", net.tables["h0"], net, time.Second)
-		if _, err := c.Claim(t.Context(), among, claims.Key{Service: "s", Key: "a"}, "r", time.Minute); errs.KindOf(err) != want {
+		if _, err := c.Claim(t.Context(), candidates, claims.Key{Service: "s", Key: "a"}, "r", time.Minute); errs.KindOf(err) != want {
 			t.Errorf("claim with %d of 6 voters down: got %v", down, err)
 		}
 	}
@@ -184,21 +184,21 @@
 // The release of a claim by one owner may arrive after the same request has claimed
 // the key through another owner. It must not free the newer claim.
 func TestLateReleaseKeepsNewerClaim(t *testing.T) {
-	net, among := newNetwork(6, time.Minute, 5*time.Millisecond)
+	net, candidates := newNetwork(6, time.Minute, 5*time.Millisecond)
 	key := claims.Key{Service: "s", Key: "k"}
 	first := claims.NewCoordinator("h0", net.tables["h0"], net, time.Second)
-	held, err := first.Claim(t.Context(), among, key, "request", time.Minute)
+	held, err := first.Claim(t.Context(), candidates, key, "request", time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
 	held.Release(false) // takes up to 100 ms to arrive
 	second := claims.NewCoordinator("h1", net.tables["h1"], net, time.Second)
 	for err = errors.New("not yet"); err != nil; {
-		_, err = second.Claim(t.Context(), among, key, "request", time.Minute)
+		_, err = second.Claim(t.Context(), candidates, key, "request", time.Minute)
 	}
 	third := claims.NewCoordinator("h2", net.tables["h2"], net, time.Second)
 	for range 3 * lateAttempts {
-		if _, err := third.Claim(t.Context(), among, key, "other", time.Minute); err == nil {
+		if _, err := third.Claim(t.Context(), candidates, key, "other", time.Minute); err == nil {
 			t.Fatal("late release freed a held key")
 		}
 		net.simulateLatency(2 * net.delay)
@@ -210,7 +210,7 @@
 // the finished key expires, or the request would run a second time.
 func TestClaimStopsRetryingBeforeHorizon(t *testing.T) {
 	const horizon = 200 * time.Millisecond
-	net, among := newNetwork(6, horizon, 0)
+	net, candidates := newNetwork(6, horizon, 0)
 	key := claims.Key{Service: "s", Key: "k"}
 	for _, host := range []string{"h0", "h1", "h2", "h3"} { // a quorum for a finished request
 		net.tables[host].Claim(key, "z-high", time.Minute)
@@ -218,7 +218,7 @@
 	}
 	net.down["h3"] = true
 	other := claims.NewCoordinator("h5", net.tables["h5"], net, 10*horizon)
-	if _, err := other.Claim(t.Context(), among, key, "a-low", time.Minute); errs.KindOf(err) != errs.KindClaimHeld {
+	if _, err := other.Claim(t.Context(), candidates, key, "a-low", time.Minute); errs.KindOf(err) != errs.KindClaimHeld {
 		t.Fatalf("got %v, want KindClaimHeld", err)
 	}
 }
--- a/internal/slots/pool.go
+++ b/internal/slots/pool.go
@@ -142,7 +142,7 @@
 	case <-timer.C:
 	}
 	p.mu.Lock()
-	p.waiting = slices.DeleteFunc(p.waiting, func(held *waiter) bool { return held == w })
+	p.waiting = slices.DeleteFunc(p.waiting, func(queued *waiter) bool { return queued == w })
 	p.mu.Unlock()
 	select {
 	case lease := <-w.ready: // granted while timing out
@@ -239,8 +239,8 @@
 
 // enqueue inserts w into the queue, behind all requests with the same deadline.
 func (p *Pool) enqueue(w *waiter) {
-	at, _ := slices.BinarySearchFunc(p.waiting, w, func(held, added *waiter) int {
-		if held.request.Deadline.After(added.request.Deadline) {
+	at, _ := slices.BinarySearchFunc(p.waiting, w, func(queued, added *waiter) int {
+		if queued.request.Deadline.After(added.request.Deadline) {
 			return 1
 		}
 		return -1 // equal deadlines keep their order
--- a/internal/upstream/liveness_test.go
+++ b/internal/upstream/liveness_test.go
@@ -23,9 +23,9 @@
 		t.Fatal(err)
 	}
 	ended.Close()
-	fates := NewFates()
+	checker := NewFates()
 	for address, want := range map[string]Fate{alive.Addr().String(): LivenessAlive, ended.Addr().String(): FateEnded} {
-		if got := fates.Of(address); got != want {
+		if got := checker.Of(address); got != want {
 			t.Errorf("liveness of %s: got %s, want %s", address, got, want)
 		}
 	}
@@ -44,15 +44,15 @@
 func TestConcurrentChecksShareOneDial(t *testing.T) {
 	var dials atomic.Int32
 	release := make(chan struct{})
-	fates := NewFates()
-	fates.dial = func(context.Context, string) error {
+	checker := NewFates()
+	checker.dial = func(context.Context, string) error {
 		dials.Add(1)
 		<-release
 		return nil
 	}
 	var wg sync.WaitGroup
 	for range 20 {
-		wg.Go(func() { fates.Of("10.0.0.1:80") })
+		wg.Go(func() { checker.Of("10.0.0.1:80") })
 	}
 	for dials.Load() == 0 {
 		time.Sleep(time.Millisecond) // until the first dial has started
@@ -65,12 +65,12 @@
 }
 
 func TestCachedChecksAreBounded(t *testing.T) {
-	fates := NewFates()
-	fates.dial = func(context.Context, string) error { return nil }
+	checker := NewFates()
+	checker.dial = func(context.Context, string) error { return nil }
 	for i := range 2 * maxChecks {
-		fates.Of(fmt.Sprintf("10.0.0.1:%d", i))
+		checker.Of(fmt.Sprintf("10.0.0.1:%d", i))
 	}
-	if n := len(fates.checks); n > maxChecks {
+	if n := len(checker.checks); n > maxChecks {
 		t.Errorf("%d checks are cached, more than maxChecks", n)
 	}
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -78,7 +78,7 @@
 		drain(t, resp.Body)
 	}
 	if runs := c.runs.Load(); runs != 3 {
-		t.Fatalf("got %d runs, want 3: http.Transport no longer resends, so upstream.Body may be unnecessary", runs)
+		t.Fatalf("got %d runs, want 3: http.Transport no longer resends, so the rule against nil bodies may be unnecessary", runs)
 	}
 }
 
