--- a/internal/claims/table.go
+++ b/internal/claims/table.go
@@ -31,6 +31,7 @@
 	Key     string
 }
 
+// claim is a granted claim on a key.
 type claim struct {
 	requestID string
 	expires   time.Time
--- a/internal/upstream/liveness.go
+++ b/internal/upstream/liveness.go
@@ -26,7 +26,7 @@
 var livenessNames = [...]string{"unknown", "alive", "ended"}
 
 // String returns the name used in logs.
-func (f Fate) String() string { return livenessNames[f] }
+func (l Fate) String() string { return livenessNames[l] }
 
 const (
 	// checkTimeout limits a check. A machine whose server has ended refuses the
@@ -50,6 +50,7 @@
 	checks map[string]*livenessCheck
 }
 
+// livenessCheck is a check in progress, or its cached result once done is closed.
 type livenessCheck struct {
 	done    chan struct{}
 	result  Fate
@@ -73,10 +74,10 @@
 
 // Of returns the state of the server at address (IP:port), to which a connection has
 // just broken. It blocks for one round trip, at most checkTimeout.
-func (f *Fates) Of(address string) Fate {
-	check, first := f.entry(time.Now(), address)
+func (c *Fates) Of(address string) Fate {
+	check, first := c.entry(time.Now(), address)
 	if first {
-		check.result = livenessOf(f.dial(context.Background(), address))
+		check.result = livenessOf(c.dial(context.Background(), address))
 		close(check.done)
 	}
 	<-check.done
@@ -85,27 +86,27 @@
 
 // entry returns the check of an address. If first is true, the check is new, and
 // its result must be set and its done channel closed.
-func (f *Fates) entry(now time.Time, address string) (entry *livenessCheck, first bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if cached, ok := f.checks[address]; ok && now.Before(cached.expires) {
+func (c *Fates) entry(now time.Time, address string) (entry *livenessCheck, first bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if cached, ok := c.checks[address]; ok && now.Before(cached.expires) {
 		return cached, false
 	}
-	if len(f.checks) >= maxChecks {
-		f.evictExpired(now)
+	if len(c.checks) >= maxChecks {
+		c.evictExpired(now)
 	}
 	entry = &livenessCheck{done: make(chan struct{}), expires: now.Add(checkTTL)}
-	if len(f.checks) < maxChecks {
-		f.checks[address] = entry
+	if len(c.checks) < maxChecks {
+		c.checks[address] = entry
 	}
 	return entry, true
 }
 
-// evictExpired removes expired results. f.mu must be held.
-func (f *Fates) evictExpired(now time.Time) {
-	for address, cached := range f.checks {
+// evictExpired removes expired results. c.mu must be held.
+func (c *Fates) evictExpired(now time.Time) {
+	for address, cached := range c.checks {
 		if !now.Before(cached.expires) {
-			delete(f.checks, address)
+			delete(c.checks, address)
 		}
 	}
 }
