--- a/internal/content/content.go
+++ b/internal/content/content.go
@@ -14,19 +14,19 @@
 	"golang.org/x/crypto/blake2b"
 )
 
-// idBytes is the length of an ID: two requests of a year at 140,000 a second have the same
+// idSize is the length of an ID: two requests of a year at 140,000 a second have the same
 // one by chance with a likelihood of 1e-13.
-const idBytes = 16
+const idSize = 16
 
-// labelBytes of an ID are what logs show: enough to tell the requests of a day apart, too
+// labelSize of an ID are what logs show: enough to tell the requests of a day apart, too
 // little to try contents against it.
-const labelBytes = 4
+const labelSize = 4
 
 // domain keeps the digests apart from all others of the same bytes.
 var domain = []byte("pearshelf request content 1")
 
 // ID is a keyed BLAKE2b hash (RFC 7693).
-type ID [idBytes]byte
+type ID [idSize]byte
 
 // Request is what identifies a request.
 type Request struct {
@@ -46,7 +46,7 @@
 
 // Of returns the ID of a request.
 func Of(r Request) ID {
-	hash, err := blake2b.New(idBytes, domain)
+	hash, err := blake2b.New(idSize, domain)
 	if err != nil {
 		panic(err) // length and domain are constants of this package
 	}
@@ -79,7 +79,7 @@
 // Parse reads what String wrote.
 func Parse(text string) (ID, error) {
 	raw, err := hex.DecodeString(text)
-	if err != nil || len(raw) != idBytes {
+	if err != nil || len(raw) != idSize {
 		return ID{}, fmt.Errorf("%q is no ID of a request's content", text)
 	}
 	return ID(raw), nil
@@ -89,11 +89,11 @@
 func (id ID) String() string { return hex.EncodeToString(id[:]) }
 
 // Label returns the short form for logs.
-func (id ID) Label() string { return hex.EncodeToString(id[:labelBytes]) }
+func (id ID) Label() string { return hex.EncodeToString(id[:labelSize]) }
 
 // FromBytes returns the ID that a message holds, and whether it is one.
 func FromBytes(raw []byte) (id ID, ok bool) {
-	if len(raw) != idBytes {
+	if len(raw) != idSize {
 		return ID{}, false
 	}
 	return ID(raw), true
--- a/internal/quarantine/answers_test.go
+++ b/internal/quarantine/answers_test.go
@@ -87,28 +87,28 @@
 
 // What is remembered of answers is bounded in number, and forgotten.
 func TestAnswersAreBounded(t *testing.T) {
-	a := newAnswers()
+	a := newAnswerHistory()
 	now := time.Unix(1000, 0)
-	for i := range 5 * maxAnswers {
-		a.note(now, idOf(fmt.Sprint(i)))
+	for i := range 5 * maxAnswersPerGeneration {
+		a.record(now, idOf(fmt.Sprint(i)))
 	}
-	if n := len(a.newer) + len(a.older); n > 2*maxAnswers {
+	if n := len(a.current) + len(a.previous); n > 2*maxAnswersPerGeneration {
 		t.Errorf("%d contents remembered", n)
 	}
 	kept := idOf("kept")
-	a.note(now, kept)
-	for _, step := range []time.Duration{answersFor / 2, answersFor} {
-		a.note(now.Add(step), idOf("other"))
-		if !a.remember(now.Add(step), kept) {
+	a.record(now, kept)
+	for _, step := range []time.Duration{answerRetention / 2, answerRetention} {
+		a.record(now.Add(step), idOf("other"))
+		if !a.answeredRecently(now.Add(step), kept) {
 			t.Errorf("forgotten after %s", step)
 		}
 	}
-	if a.remember(now.Add(2*answersFor+time.Second), kept) {
+	if a.answeredRecently(now.Add(2*answerRetention+time.Second), kept) {
 		t.Error("remembered for ever by a host that answers nothing more")
 	}
-	a.note(now.Add(2*answersFor), idOf("other"))
-	a.note(now.Add(3*answersFor+time.Second), idOf("other"))
-	if !a.last(kept).IsZero() {
+	a.record(now.Add(2*answerRetention), idOf("other"))
+	a.record(now.Add(3*answerRetention+time.Second), idOf("other"))
+	if !a.lastAnswer(kept).IsZero() {
 		t.Error("held for ever")
 	}
 }
--- a/internal/quarantine/decide.go
+++ b/internal/quarantine/decide.go
@@ -14,36 +14,36 @@
 	Cleared    content.ID
 }
 
-// consider makes a decision due where there is evidence for one.
-func (t *Table) consider(now time.Time, s *suspect) {
-	t.forgetLifted(s)
-	if !s.decideAt.IsZero() || !t.isDue(s) {
+// scheduleDecision makes a decision due where there is evidence for one.
+func (t *Table) scheduleDecision(now time.Time, s *suspect) {
+	t.dropLifted(s)
+	if !s.decideAt.IsZero() || !t.needsDecision(s) {
 		return
 	}
 	rank := slices.Index(t.homesOf(s.id), t.self)
 	if rank < 0 {
-		if len(s.own) == 0 || len(s.own) < s.own[0].Scope.needed() {
+		if len(s.observed) == 0 || len(s.observed) < s.observed[0].Scope.threshold() {
 			return // the homes decide
 		}
-		rank = homes // unless none of them does
+		rank = homesPerContent // unless none of them does
 	}
 	s.decideAt = now.Add(time.Duration(rank) * rankDelay)
 	t.due.Add(s.decideAt)
 	t.decideIfDue(now, s)
 }
 
-// forgetLifted drops ends from before the content was last lifted.
-func (t *Table) forgetLifted(s *suspect) {
-	s.ends = slices.DeleteFunc(s.ends, func(e End) bool { return !t.view.counts(s.id, e) })
+// dropLifted drops ends from before the content was last lifted.
+func (t *Table) dropLifted(s *suspect) {
+	s.crashes = slices.DeleteFunc(s.crashes, func(e End) bool { return !t.view.isEvidence(s.id, e) })
 }
 
-// isDue reports whether a content's ends call for a quarantine, or for a longer one.
-func (t *Table) isDue(s *suspect) bool {
+// needsDecision reports whether a content's ends call for a quarantine, or for a longer one.
+func (t *Table) needsDecision(s *suspect) bool {
 	q := t.view.Get(s.id)
 	if q == nil {
-		return len(s.ends) > 0 && len(s.ends) >= s.ends[0].Scope.needed()
+		return len(s.crashes) > 0 && len(s.crashes) >= s.crashes[0].Scope.threshold()
 	}
-	return slices.ContainsFunc(s.ends, func(e End) bool { return e.At.After(q.Until) && !q.covers(e) })
+	return slices.ContainsFunc(s.crashes, func(e End) bool { return e.At.After(q.Until) && !q.covers(e) })
 }
 
 // decideIfDue puts a content under quarantine once this home's time has come.
@@ -52,12 +52,12 @@
 		return
 	}
 	s.decideAt = time.Time{}
-	t.forgetLifted(s)
-	if !t.isDue(s) {
+	t.dropLifted(s)
+	if !t.needsDecision(s) {
 		return // another home has decided
 	}
-	if !t.mayDecide(now) {
-		s.decideAt = t.second.Add(time.Second)
+	if !t.allowDecision(now) {
+		s.decideAt = t.secondStart.Add(time.Second)
 		t.due.Add(s.decideAt)
 		return
 	}
@@ -65,23 +65,23 @@
 	if q := t.view.Get(s.id); q != nil {
 		trials = q.Trials + 1
 	}
-	scope := s.ends[0].Scope
+	scope := s.crashes[0].Scope
 	t.decisions = append(t.decisions, Decision{Quarantine: &Quarantine{
 		Content: s.id,
 		Scope:   scope,
-		Service: s.ends[len(s.ends)-1].Service,
-		Ends:    slices.Clone(s.ends),
-		Until:   now.Add(scope.hold(trials)),
+		Service: s.crashes[len(s.crashes)-1].Service,
+		Ends:    slices.Clone(s.crashes),
+		Until:   now.Add(scope.holdDuration(trials)),
 		Trials:  trials,
 	}})
 }
 
-// mayDecide counts a decision against the bound of this second.
-func (t *Table) mayDecide(now time.Time) bool {
-	if now.Sub(t.second) >= time.Second {
-		t.second = now
-		t.decided = 0
+// allowDecision counts a decision against the bound of this second.
+func (t *Table) allowDecision(now time.Time) bool {
+	if now.Sub(t.secondStart) >= time.Second {
+		t.secondStart = now
+		t.decidedInSecond = 0
 	}
-	t.decided++
-	return t.decided <= maxDecisions
+	t.decidedInSecond++
+	return t.decidedInSecond <= maxDecisionsPerSecond
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -33,54 +33,54 @@
 )
 
 const (
-	// serversEnded is how many servers must have ended while they had a content. With two, a
+	// contentThreshold is how many servers must have ended while they had a content. With two, a
 	// request that is repeated once beside a server's own end and the next would be refused.
-	serversEnded = 3
-	// callerEnded is the same for all requests of a caller on a route: one whose requests
+	contentThreshold = 3
+	// callerThreshold is the same for all requests of a caller on a route: one whose requests
 	// differ each time is found by it. Twice as many, because a caller has several requests
 	// under way, and three servers that end by themselves may lose it one each.
-	callerEnded = 6
-	// sameEnd is within how much of each other two ends of one server are the same one, seen
+	callerThreshold = 6
+	// sameCrashWindow is within how much of each other two ends of one server are the same one, seen
 	// by two hosts (a round trip and a check apart). Later it is another process that has
 	// the server's ID: one needs longer than that to start.
-	sameEnd = time.Second
-	// homes of a content: with half of all hosts killed at once one in eight contents
+	sameCrashWindow = time.Second
+	// homesPerContent of a content: with half of all hosts killed at once one in eight contents
 	// loses what it was known for.
-	homes = 3
+	homesPerContent = 3
 	// rankDelay is how much longer each next home waits before it decides, so that one
 	// does: a decision reaches the others within some 10 ms.
 	rankDelay = 150 * time.Millisecond
-	// tellAgainAfter is when an end is told once more, in case the datagram was lost.
-	tellAgainAfter = 100 * time.Millisecond
-	// knownFor is how long an end counts. Longer finds contents that come seldom: one that
+	// resendDelay is when an end is told once more, in case the datagram was lost.
+	resendDelay = 100 * time.Millisecond
+	// evidenceTTL is how long an end counts. Longer finds contents that come seldom: one that
 	// runs once each arrival, every three minutes, is found at its third arrival.
-	knownFor = 10 * time.Minute
-	// firstHold is the length of a quarantine. Each trial that ends another server makes
+	evidenceTTL = 10 * time.Minute
+	// initialHold is the length of a quarantine. Each trial that ends another server makes
 	// the next one longer by holdGrowth, up to longestHold: a content that always ends
 	// servers ends one in 30 s, 2 min, 8 min, 32 min and each hour after.
-	firstHold = 30 * time.Second
-	// firstCallerHold is the same for a caller. Requests of many people may come from one
+	initialHold = 30 * time.Second
+	// initialCallerHold is the same for a caller. Requests of many people may come from one
 	// address; while all servers are down none of them is answered, and the first one tried
 	// after it ends the quarantine for all.
-	firstCallerHold = 5 * time.Second
-	holdGrowth      = 4
-	longestHold     = time.Hour
-	// askAgain is how often a host asks a home for a trial.
-	askAgain = time.Second
-	// trialFor is for how long after a hold a content stays on trial before it is forgotten.
-	trialFor = 2 * time.Hour
-	// trialPause is when another trial may begin if one told nothing.
-	trialPause = 10 * time.Second
-	// liftAgain is when a host decides once more that a quarantine ends, if it is still held.
-	liftAgain = time.Second
+	initialCallerHold = 5 * time.Second
+	holdFactor      = 4
+	maxHold     = time.Hour
+	// trialRequestInterval is how often a host asks a home for a trial.
+	trialRequestInterval = time.Second
+	// trialPeriod is for how long after a hold a content stays on trial before it is forgotten.
+	trialPeriod = 2 * time.Hour
+	// trialInterval is when another trial may begin if one told nothing.
+	trialInterval = 10 * time.Second
+	// liftRetryInterval is when a host decides once more that a quarantine ends, if it is still held.
+	liftRetryInterval = time.Second
 	// maxSuspects bounds the contents that a host has evidence of, some 400 bytes each.
 	// When full the oldest goes: a content that comes again is found by its next ends.
 	maxSuspects = 4096
-	// maxEnds bounds the ends that are kept of a content; operators are shown them.
-	maxEnds = 8
-	// maxDecisions bounds a home's decisions in a second: each is told to all hosts. What
+	// maxCrashes bounds the ends that are kept of a content; operators are shown them.
+	maxCrashes = 8
+	// maxDecisionsPerSecond bounds a home's decisions in a second: each is told to all hosts. What
 	// is beyond it waits for the next second.
-	maxDecisions = 20
+	maxDecisionsPerSecond = 20
 )
 
 // Scope says which requests are one to the quarantine.
@@ -99,12 +99,12 @@
 // String returns the name that operators see.
 func (s Scope) String() string { return scopeNames[s] }
 
-// needed is how many servers must have ended.
-func (s Scope) needed() int {
+// threshold is how many servers must have ended.
+func (s Scope) threshold() int {
 	if s == ScopeCaller {
-		return callerEnded
+		return callerThreshold
 	}
-	return serversEnded
+	return contentThreshold
 }
 
 // End is the end of a server while it had a request.
@@ -117,9 +117,9 @@
 	Host string
 }
 
-// same reports whether two hosts speak of one end of a server.
-func (e End) same(other End) bool {
-	return e.Server == other.Server && e.At.Sub(other.At).Abs() < sameEnd
+// sameCrash reports whether two hosts speak of one end of a server.
+func (e End) sameCrash(other End) bool {
+	return e.Server == other.Server && e.At.Sub(other.At).Abs() < sameCrashWindow
 }
 
 // Subject is a request as the quarantine knows it.
@@ -151,16 +151,16 @@
 }
 
 // covers reports whether an end is one of those for which the content is held.
-func (q *Quarantine) covers(end End) bool { return slices.ContainsFunc(q.Ends, end.same) }
+func (q *Quarantine) covers(end End) bool { return slices.ContainsFunc(q.Ends, end.sameCrash) }
 
-// hold is the length of a quarantine after a number of trials that failed.
-func (s Scope) hold(trials int) time.Duration {
-	length := firstHold
+// holdDuration is the length of a quarantine after a number of trials that failed.
+func (s Scope) holdDuration(trials int) time.Duration {
+	length := initialHold
 	if s == ScopeCaller {
-		length = firstCallerHold
+		length = initialCallerHold
 	}
 	for range trials {
-		length = min(length*holdGrowth, longestHold)
+		length = min(length*holdFactor, maxHold)
 	}
 	return length
 }
@@ -168,13 +168,13 @@
 // View is the contents in quarantine, as all hosts have them. It does not change.
 type View struct {
 	byContent map[content.ID]*Quarantine
-	// lifted is when contents were cleared of what servers had done until then.
-	lifted map[content.ID]time.Time
+	// liftedAt is when contents were cleared of what servers had done until then.
+	liftedAt map[content.ID]time.Time
 }
 
 // NewView returns a view of quarantines.
 func NewView(all []*Quarantine) *View {
-	v := &View{byContent: make(map[content.ID]*Quarantine, len(all)), lifted: make(map[content.ID]time.Time)}
+	v := &View{byContent: make(map[content.ID]*Quarantine, len(all)), liftedAt: make(map[content.ID]time.Time)}
 	for _, q := range all {
 		v.byContent[q.Content] = q
 	}
@@ -192,13 +192,13 @@
 	return v.byContent[id]
 }
 
-// counts reports whether an end is evidence against a content: it must be later than what
+// isEvidence reports whether an end is evidence against a content: it must be later than what
 // an answer, or an operator, has cleared.
-func (v *View) counts(id content.ID, end End) bool {
+func (v *View) isEvidence(id content.ID, end End) bool {
 	if v == nil {
 		return true
 	}
-	lifted, known := v.lifted[id]
+	lifted, known := v.liftedAt[id]
 	return !known || end.At.After(lifted)
 }
 
@@ -208,7 +208,7 @@
 	if held := v.Get(decided.Content); held != nil && held.Trials >= decided.Trials {
 		return true
 	}
-	return !slices.ContainsFunc(decided.Ends, func(e End) bool { return v.counts(decided.Content, e) })
+	return !slices.ContainsFunc(decided.Ends, func(e End) bool { return v.isEvidence(decided.Content, e) })
 }
 
 // All returns the contents in quarantine, the newest first.
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -30,14 +30,14 @@
 	if err != nil {
 		return nil, err
 	}
-	life := q.Until.Sub(now) + trialFor
+	life := q.Until.Sub(now) + trialPeriod
 	return &peerpb.Register{Key: Key(q.Content), Value: raw, TtlMs: uint64(life.Milliseconds())}, nil
 }
 
 // Lift returns an unstamped register that ends the quarantine of a content. It is kept for
 // as long as an older value could come from a host that was cut off.
 func Lift(id content.ID) *peerpb.Register {
-	return &peerpb.Register{Key: Key(id), Deleted: true, TtlMs: uint64((longestHold + trialFor).Milliseconds())}
+	return &peerpb.Register{Key: Key(id), Deleted: true, TtlMs: uint64((maxHold + trialPeriod).Milliseconds())}
 }
 
 // InForce returns the quarantines that a host's registers hold.
@@ -56,7 +56,7 @@
 	v := NewView(InForce(store))
 	for _, r := range store.Deleted(prefix) {
 		if id, err := content.Parse(strings.TrimPrefix(r.Key, prefix)); err == nil { // else not of this version
-			v.lifted[id] = hlc.Timestamp(r.Stamp.Clock).Time()
+			v.liftedAt[id] = hlc.Timestamp(r.Stamp.Clock).Time()
 		}
 	}
 	return v
@@ -71,23 +71,23 @@
 	if proto.Unmarshal(r.Value, value) != nil {
 		return nil, false // likewise
 	}
-	scope, ok := scopeOf(value.Scope)
+	scope, ok := parseScope(value.Scope)
 	if !ok {
 		return nil, false // likewise
 	}
-	q := &Quarantine{Content: id, Scope: scope, Service: value.Service, Trials: int(value.Trials), Until: store.Expiry(r.Key).Add(-trialFor)}
-	written := q.Until.Add(-q.Scope.hold(q.Trials))
+	q := &Quarantine{Content: id, Scope: scope, Service: value.Service, Trials: int(value.Trials), Until: store.Expiry(r.Key).Add(-trialPeriod)}
+	written := q.Until.Add(-q.Scope.holdDuration(q.Trials))
 	for _, e := range value.Ends {
-		q.Ends = append(q.Ends, End{Scope: scope, Service: value.Service, Server: e.Server, At: written.Add(-age(e)), Host: e.Host})
+		q.Ends = append(q.Ends, End{Scope: scope, Service: value.Service, Server: e.Server, At: written.Add(-ageOf(e)), Host: e.Host})
 	}
 	return q, true
 }
 
-// scopeOf reads a scope, and reports whether this version of the daemon knows it.
-func scopeOf(told peerpb.QuarantineScope) (Scope, bool) {
+// parseScope reads a scope, and reports whether this version of the daemon knows it.
+func parseScope(told peerpb.QuarantineScope) (Scope, bool) {
 	return Scope(told), told >= 0 && int(told) < len(scopeNames)
 }
 
 func ageMs(now, at time.Time) uint32 { return uint32(max(now.Sub(at).Milliseconds(), 0)) }
 
-func age(e *peerpb.ServerEnd) time.Duration { return time.Duration(e.AgeMs) * time.Millisecond }
+func ageOf(e *peerpb.ServerEnd) time.Duration { return time.Duration(e.AgeMs) * time.Millisecond }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -25,27 +25,27 @@
 	fleet    Fleet
 	view     *View
 	suspects map[content.ID]*suspect
-	// cleared is when contents were last answered that had been suspects; older ends of
+	// clearedAt is when contents were last answered that had been suspects; older ends of
 	// them do not count.
-	cleared map[content.ID]time.Time
-	answers *answers
+	clearedAt map[content.ID]time.Time
+	answers *answerHistory
 	due     wakeup.Next
-	// trials are when this host, as first home, last let a content be tried; asked when it
+	// lastTrial are when this host, as first home, last let a content be tried; asked when it
 	// last asked another one, and granted until when it may send a content itself.
-	trials  map[content.ID]time.Time
-	asked   map[content.ID]time.Time
-	granted map[content.ID]time.Time
+	lastTrial  map[content.ID]time.Time
+	trialRequestedAt   map[content.ID]time.Time
+	grantedUntil map[content.ID]time.Time
 	// answeredBefore is when hosts told this one, as first home, that they had seen a content
 	// in quarantine answered before.
 	answeredBefore map[content.ID]time.Time
-	// lifted is when this host last decided that a quarantine ends.
-	lifted map[content.ID]time.Time
+	// liftedAt is when this host last decided that a quarantine ends.
+	liftedAt map[content.ID]time.Time
 
-	out       []Message
+	messages       []Message
 	decisions []Decision
-	// decided counts the decisions of the second that began at second.
-	decided int
-	second  time.Time
+	// decidedInSecond counts the decisions of the second that began at second.
+	decidedInSecond int
+	secondStart  time.Time
 }
 
 // NewTable returns the table of a host.
@@ -54,15 +54,15 @@
 		self:     self,
 		fleet:    Fleet{Homes: []rendezvous.Node{rendezvous.NewNode(self, "")}},
 		suspects: make(map[content.ID]*suspect),
-		cleared:  make(map[content.ID]time.Time),
-		answers:  newAnswers(),
-		trials:   make(map[content.ID]time.Time),
-		asked:    make(map[content.ID]time.Time),
-		granted:  make(map[content.ID]time.Time),
+		clearedAt:  make(map[content.ID]time.Time),
+		answers:  newAnswerHistory(),
+		lastTrial:   make(map[content.ID]time.Time),
+		trialRequestedAt:    make(map[content.ID]time.Time),
+		grantedUntil:  make(map[content.ID]time.Time),
 
 		answeredBefore: make(map[content.ID]time.Time),
 
-		lifted: make(map[content.ID]time.Time),
+		liftedAt: make(map[content.ID]time.Time),
 	}
 }
 
@@ -75,7 +75,7 @@
 		return
 	}
 	for _, s := range t.suspects {
-		t.tellNewHomes(now, s)
+		t.reportToNewHomes(now, s)
 	}
 }
 
@@ -88,29 +88,29 @@
 	for _, q := range view.All() {
 		switch {
 		case before.Get(q.Content) != nil || q.Trials > 0:
-		case t.answers.refute(q):
-			t.refuted(now, q.Content)
-		case t.answers.remember(now, q.Content):
-			t.tellAnsweredBefore(now, q.Content)
+		case t.answers.clears(q):
+			t.clearAnswered(now, q.Content)
+		case t.answers.answeredRecently(now, q.Content):
+			t.reportAnsweredBefore(now, q.Content)
 		}
 	}
 }
 
-// tellAnsweredBefore lets the first home of a content know that it most likely does nothing wrong,
+// reportAnsweredBefore lets the first home of a content know that it most likely does nothing wrong,
 // so that whichever host gets it next may try it.
-func (t *Table) tellAnsweredBefore(now time.Time, id content.ID) {
+func (t *Table) reportAnsweredBefore(now time.Time, id content.ID) {
 	first := t.homesOf(id)[0]
 	if first == t.self {
 		t.answeredBefore[id] = now
 		return
 	}
-	t.out = append(t.out, Message{To: first, Answered: [][]byte{id[:]}})
+	t.messages = append(t.messages, Message{To: first, Answered: [][]byte{id[:]}})
 }
 
-// refuted takes that an answer by way of this host clears a content. Only homes lift the
+// clearAnswered takes that an answer by way of this host clears a content. Only homes lift the
 // quarantine: all hosts may have had such an answer.
-func (t *Table) refuted(now time.Time, id content.ID) {
-	t.tellServed(id)
+func (t *Table) clearAnswered(now time.Time, id content.ID) {
+	t.reportAnswer(id)
 	if slices.Contains(t.homesOf(id), t.self) {
 		t.clear(now, id)
 	}
@@ -122,29 +122,29 @@
 // Ended takes what this host has seen itself.
 func (t *Table) Ended(now time.Time, id content.ID, end End) {
 	end.Host = t.self
-	s := t.suspect(now, id)
-	s.own = newest(append(s.own, end))
-	s.tellAgain = now.Add(tellAgainAfter)
-	t.due.Add(s.tellAgain)
-	t.tell(now, s, t.homesOf(id))
-	t.add(now, s, end)
+	s := t.suspectFor(now, id)
+	s.observed = newestCrashes(append(s.observed, end))
+	s.resendAt = now.Add(resendDelay)
+	t.due.Add(s.resendAt)
+	t.reportCrashes(now, s, t.homesOf(id))
+	t.addCrash(now, s, end)
 }
 
 // Served takes that a server has answered a request of a content whole.
 func (t *Table) Served(now time.Time, id content.ID) {
-	t.answers.note(now, id)
+	t.answers.record(now, id)
 	if t.suspects[id] == nil && t.view.Get(id) == nil {
 		return
 	}
-	t.tellServed(id)
+	t.reportAnswer(id)
 	t.clear(now, id)
 }
 
-// tellServed tells the homes of a content that it was answered.
-func (t *Table) tellServed(id content.ID) {
+// reportAnswer tells the homes of a content that it was answered.
+func (t *Table) reportAnswer(id content.ID) {
 	for _, home := range t.homesOf(id) {
 		if home != t.self {
-			t.out = append(t.out, Message{To: home, Served: [][]byte{id[:]}})
+			t.messages = append(t.messages, Message{To: home, Served: [][]byte{id[:]}})
 		}
 	}
 }
@@ -153,33 +153,33 @@
 func (t *Table) Receive(now time.Time, d *peerpb.Datagram) {
 	for _, told := range d.Ends {
 		id, known := content.FromBytes(told.Content)
-		scope, ok := scopeOf(told.Scope)
+		scope, ok := parseScope(told.Scope)
 		if !known || !ok || told.Server == "" {
 			continue // not of this version of the daemon
 		}
-		end := End{Scope: scope, Service: told.Service, Server: told.Server, At: now.Add(-age(told)), Host: d.From}
-		if t.counts(now, id, end) {
-			t.add(now, t.suspect(now, id), end)
+		end := End{Scope: scope, Service: told.Service, Server: told.Server, At: now.Add(-ageOf(told)), Host: d.From}
+		if t.isEvidence(now, id, end) {
+			t.addCrash(now, t.suspectFor(now, id), end)
 		}
 	}
-	for _, id := range idsOf(d.Served) {
+	for _, id := range parseIDs(d.Served) {
 		t.clear(now, id)
 	}
-	for _, id := range idsOf(d.TrialAsks) {
-		if q := t.view.Get(id); q != nil && t.grant(now, q) {
-			t.out = append(t.out, Message{To: d.From, Grants: [][]byte{id[:]}})
+	for _, id := range parseIDs(d.TrialAsks) {
+		if q := t.view.Get(id); q != nil && t.grantTrial(now, q) {
+			t.messages = append(t.messages, Message{To: d.From, Grants: [][]byte{id[:]}})
 		}
 	}
-	for _, id := range idsOf(d.AnsweredBefore) {
+	for _, id := range parseIDs(d.AnsweredBefore) {
 		t.answeredBefore[id] = now
 	}
-	for _, id := range idsOf(d.TrialGrants) {
-		t.granted[id] = now.Add(trialPause)
+	for _, id := range parseIDs(d.TrialGrants) {
+		t.grantedUntil[id] = now.Add(trialInterval)
 	}
 }
 
-// idsOf reads contents; what is none is not of this version of the daemon.
-func idsOf(raw [][]byte) []content.ID {
+// parseIDs reads contents; what is none is not of this version of the daemon.
+func parseIDs(raw [][]byte) []content.ID {
 	var ids []content.ID
 	for _, one := range raw {
 		if id, ok := content.FromBytes(one); ok {
@@ -193,29 +193,29 @@
 func (t *Table) Tick(now time.Time) {
 	t.due.Reset()
 	for id, s := range t.suspects {
-		if now.Sub(s.changed) >= knownFor {
+		if now.Sub(s.updatedAt) >= evidenceTTL {
 			delete(t.suspects, id)
 			continue
 		}
 		t.decideIfDue(now, s)
-		if !s.tellAgain.IsZero() && !now.Before(s.tellAgain) {
-			s.tellAgain = time.Time{}
-			t.tell(now, s, t.homesOf(id))
+		if !s.resendAt.IsZero() && !now.Before(s.resendAt) {
+			s.resendAt = time.Time{}
+			t.reportCrashes(now, s, t.homesOf(id))
 		}
 		t.due.Add(s.decideAt)
-		t.due.Add(s.tellAgain)
-		t.due.Add(s.changed.Add(knownFor))
+		t.due.Add(s.resendAt)
+		t.due.Add(s.updatedAt.Add(evidenceTTL))
 	}
-	forgetBefore(t.cleared, now.Add(-knownFor))
-	forgetBefore(t.trials, now.Add(-trialPause))
-	forgetBefore(t.asked, now.Add(-askAgain))
-	forgetBefore(t.granted, now)
-	forgetBefore(t.answeredBefore, now.Add(-earlyTrials))
-	forgetBefore(t.lifted, now.Add(-liftAgain))
+	deleteBefore(t.clearedAt, now.Add(-evidenceTTL))
+	deleteBefore(t.lastTrial, now.Add(-trialInterval))
+	deleteBefore(t.trialRequestedAt, now.Add(-trialRequestInterval))
+	deleteBefore(t.grantedUntil, now)
+	deleteBefore(t.answeredBefore, now.Add(-earlyTrialWindow))
+	deleteBefore(t.liftedAt, now.Add(-liftRetryInterval))
 }
 
-// forgetBefore drops what is older.
-func forgetBefore(times map[content.ID]time.Time, oldest time.Time) {
+// deleteBefore drops what is older.
+func deleteBefore(times map[content.ID]time.Time, oldest time.Time) {
 	for id, at := range times {
 		if at.Before(oldest) {
 			delete(times, id)
@@ -228,8 +228,8 @@
 
 // Messages returns what is to be sent, and forgets it.
 func (t *Table) Messages() []Message {
-	out := t.out
-	t.out = nil
+	out := t.messages
+	t.messages = nil
 	return out
 }
 
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -211,8 +211,8 @@
 		table.Ended(now, idOf("caller"), End{Scope: ScopeCaller, Server: fmt.Sprint("s", i), At: now})
 	}
 	s := table.suspects[idOf("caller")]
-	if len(s.ends) > maxEnds || len(s.own) > maxEnds {
-		t.Errorf("%d and %d ends are kept", len(s.ends), len(s.own))
+	if len(s.crashes) > maxCrashes || len(s.observed) > maxCrashes {
+		t.Errorf("%d and %d ends are kept", len(s.crashes), len(s.observed))
 	}
 }
 
@@ -224,7 +224,7 @@
 	for i := range 3 {
 		f.ended("h001", bad, fmt.Sprint("s", i))
 	}
-	f.pass(firstHold - time.Second)
+	f.pass(initialHold - time.Second)
 	if n := f.trials(bad); n != 0 {
 		t.Fatalf("%d hosts may try it before the hold is over", n)
 	}
@@ -234,11 +234,11 @@
 		t.Fatalf("tried by %v, and again by %d", tried, f.trials(bad))
 	}
 	f.ended(tried[0], bad, "s7")
-	f.pass(firstHold + time.Second)
+	f.pass(initialHold + time.Second)
 	if n := f.refusedBy(bad); n != 10 {
 		t.Fatalf("%d of 10 hosts refuse it in the second hold", n)
 	}
-	f.pass(firstHold * holdGrowth)
+	f.pass(initialHold * holdFactor)
 	tried = f.triedBy(bad)
 	if len(tried) != 1 {
 		t.Fatalf("tried by %v after the second hold", tried)
@@ -258,7 +258,7 @@
 	for i := range 3 {
 		f.ended("h001", bad, fmt.Sprint("s", i))
 	}
-	f.pass(firstHold + time.Second)
+	f.pass(initialHold + time.Second)
 	homesNow := f.hosts["h000"].table.homesOf(bad)
 	var at *host
 	for _, h := range f.hosts {
@@ -282,12 +282,12 @@
 // Requests of one caller that differ each time: six servers that end, without an answer.
 func TestCallerWhoseRequestsDiffer(t *testing.T) {
 	f := newFleet(t, 10)
-	for i := range 2 * callerEnded {
+	for i := range 2 * callerThreshold {
 		host := f.hosts[fmt.Sprintf("h%03d", i%10)]
-		if n := f.refusedBy(idOf("caller")); i < callerEnded && n > 0 || i == callerEnded && n != 10 {
+		if n := f.refusedBy(idOf("caller")); i < callerThreshold && n > 0 || i == callerThreshold && n != 10 {
 			t.Fatalf("%d of 10 hosts refuse the caller after %d ends", n, i)
 		}
-		if i >= callerEnded {
+		if i >= callerThreshold {
 			f.pass(time.Second)
 			continue
 		}
@@ -313,11 +313,11 @@
 	if n := len(f.hosts["h000"].table.suspects); n > maxSuspects {
 		t.Errorf("%d contents are kept", n)
 	}
-	if f.decided > maxDecisions {
+	if f.decided > maxDecisionsPerSecond {
 		t.Errorf("%d decisions in one moment", f.decided)
 	}
 	f.pass(3 * time.Second)
-	if f.decided <= maxDecisions || f.decided > 4*maxDecisions {
+	if f.decided <= maxDecisionsPerSecond || f.decided > 4*maxDecisionsPerSecond {
 		t.Errorf("%d decisions after 3 s", f.decided)
 	}
 }
@@ -325,7 +325,7 @@
 // A register that came from another host says the same there.
 func TestRegisterKeepsAQuarantine(t *testing.T) {
 	now := time.Unix(1000, 0)
-	q := &Quarantine{Content: idOf("bad"), Service: "shop", Until: now.Add(ScopeContent.hold(2)), Trials: 2, Ends: []End{{Service: "shop", Server: "s1", At: now.Add(-time.Second), Host: "h1"}}}
+	q := &Quarantine{Content: idOf("bad"), Service: "shop", Until: now.Add(ScopeContent.holdDuration(2)), Trials: 2, Ends: []End{{Service: "shop", Server: "s1", At: now.Add(-time.Second), Host: "h1"}}}
 	r, err := q.Register(now)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/quarantine/tell.go
+++ b/internal/quarantine/tell.go
@@ -21,31 +21,31 @@
 }
 
 func (t *Table) homesOf(id content.ID) []string {
-	return rendezvous.Top(id.String(), t.fleet.Homes, homes)
+	return rendezvous.Top(id.String(), t.fleet.Homes, homesPerContent)
 }
 
-// tell tells hosts of the ends that this one has seen.
-func (t *Table) tell(now time.Time, s *suspect, hosts []string) {
+// reportCrashes tells hosts of the ends that this one has seen.
+func (t *Table) reportCrashes(now time.Time, s *suspect, hosts []string) {
 	for _, host := range hosts {
 		if host == t.self {
 			continue
 		}
 		message := Message{To: host}
-		for _, e := range s.own {
+		for _, e := range s.observed {
 			message.Ends = append(message.Ends, &peerpb.ServerEnd{Content: s.id[:], Scope: peerpb.QuarantineScope(e.Scope), Service: e.Service, Server: e.Server, AgeMs: ageMs(now, e.At)})
 		}
-		t.out = append(t.out, message)
-		if !slices.Contains(s.told, host) {
-			s.told = append(s.told, host)
+		t.messages = append(t.messages, message)
+		if !slices.Contains(s.notified, host) {
+			s.notified = append(s.notified, host)
 		}
 	}
 }
 
-// tellNewHomes tells those that have become a content's home.
-func (t *Table) tellNewHomes(now time.Time, s *suspect) {
-	if len(s.own) == 0 {
+// reportToNewHomes tells those that have become a content's home.
+func (t *Table) reportToNewHomes(now time.Time, s *suspect) {
+	if len(s.observed) == 0 {
 		return
 	}
-	added := slices.DeleteFunc(t.homesOf(s.id), func(host string) bool { return slices.Contains(s.told, host) })
-	t.tell(now, s, added)
+	added := slices.DeleteFunc(t.homesOf(s.id), func(host string) bool { return slices.Contains(s.notified, host) })
+	t.reportCrashes(now, s, added)
 }
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -21,8 +21,8 @@
 	RenewEvery = TTL / 3
 )
 
-// Key returns the register key of one vote.
-func Key(service, backend, watcher string) string {
+// key returns the register key of one vote.
+func key(service, backend, watcher string) string {
 	return prefix + service + "/" + backend + "/" + watcher
 }
 
@@ -37,8 +37,8 @@
 	if err != nil {
 		return
 	}
-	write(w, now, svc, &peerpb.Register{
-		Key:   Key(svc.Config.Name, b.Config.ID, w.Self.Host),
+	writeVote(w, now, svc, &peerpb.Register{
+		Key:   key(svc.Config.Name, b.Config.ID, w.Self.Host),
 		Value: value,
 		TtlMs: uint64(TTL.Milliseconds()),
 	})
@@ -46,14 +46,14 @@
 
 // End withdraws this host's vote.
 func End(w *world.World, now time.Time, svc *world.Service, b *world.BackendServer) {
-	write(w, now, svc, &peerpb.Register{
-		Key:     Key(svc.Config.Name, b.Config.ID, w.Self.Host),
+	writeVote(w, now, svc, &peerpb.Register{
+		Key:     key(svc.Config.Name, b.Config.ID, w.Self.Host),
 		Deleted: true,
 		TtlMs:   uint64(TTL.Milliseconds()),
 	})
 }
 
-func write(w *world.World, now time.Time, svc *world.Service, r *peerpb.Register) {
+func writeVote(w *world.World, now time.Time, svc *world.Service, r *peerpb.Register) {
 	w.Write(now, r)
 	var owners []string
 	for _, hosts := range svc.Owners {
