--- a/internal/quarantine/answers.go
+++ b/internal/quarantine/answers.go
@@ -19,7 +19,7 @@
 // older one is dropped as a whole.
 type answerHistory struct {
 	current, previous map[content.ID]time.Time
-	rotateAt       time.Time
+	rotateAt          time.Time
 }
 
 func newAnswerHistory() *answerHistory {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -63,8 +63,8 @@
 	// address; while all servers are down none of them is answered, and the first one tried
 	// after it ends the quarantine for all.
 	initialCallerHold = 5 * time.Second
-	holdFactor      = 4
-	maxHold     = time.Hour
+	holdFactor        = 4
+	maxHold           = time.Hour
 	// trialRequestInterval is how often a host asks a home for a trial.
 	trialRequestInterval = time.Second
 	// trialPeriod is for how long after a hold a content stays on trial before it is forgotten.
--- a/internal/quarantine/suspect.go
+++ b/internal/quarantine/suspect.go
@@ -9,20 +9,20 @@
 
 // suspect is what a host knows of a content.
 type suspect struct {
-	id   content.ID
+	id      content.ID
 	crashes []End
 	// observed are those of the ends that this host has seen itself, told the hosts that were
 	// told of them, and tellAgain when they are told once more, zero if they have been.
-	observed       []End
-	notified      []string
+	observed []End
+	notified []string
 	resendAt time.Time
 	// decideAt is when this home decides, unless another has; zero if nothing is due.
-	decideAt time.Time
-	updatedAt  time.Time
+	decideAt  time.Time
+	updatedAt time.Time
 }
 
-// suspectFor returns the row of a content, made if absent.
-func (t *Table) suspectFor(now time.Time, id content.ID) *suspect {
+// suspect returns the row of a content, made if absent.
+func (t *Table) suspect(now time.Time, id content.ID) *suspect {
 	s, ok := t.suspects[id]
 	if !ok {
 		t.evictOldest()
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -28,37 +28,37 @@
 	// clearedAt is when contents were last answered that had been suspects; older ends of
 	// them do not count.
 	clearedAt map[content.ID]time.Time
-	answers *answerHistory
-	due     wakeup.Next
+	answers   *answerHistory
+	due       wakeup.Next
 	// lastTrial are when this host, as first home, last let a content be tried; asked when it
 	// last asked another one, and granted until when it may send a content itself.
-	lastTrial  map[content.ID]time.Time
-	trialRequestedAt   map[content.ID]time.Time
-	grantedUntil map[content.ID]time.Time
+	lastTrial        map[content.ID]time.Time
+	trialRequestedAt map[content.ID]time.Time
+	grantedUntil     map[content.ID]time.Time
 	// answeredBefore is when hosts told this one, as first home, that they had seen a content
 	// in quarantine answered before.
 	answeredBefore map[content.ID]time.Time
 	// liftedAt is when this host last decided that a quarantine ends.
 	liftedAt map[content.ID]time.Time
 
-	messages       []Message
+	messages  []Message
 	decisions []Decision
 	// decidedInSecond counts the decisions of the second that began at second.
 	decidedInSecond int
-	secondStart  time.Time
+	secondStart     time.Time
 }
 
 // NewTable returns the table of a host.
 func NewTable(self string) *Table {
 	return &Table{
-		self:     self,
-		fleet:    Fleet{Homes: []rendezvous.Node{rendezvous.NewNode(self, "")}},
-		suspects: make(map[content.ID]*suspect),
-		clearedAt:  make(map[content.ID]time.Time),
-		answers:  newAnswerHistory(),
-		lastTrial:   make(map[content.ID]time.Time),
-		trialRequestedAt:    make(map[content.ID]time.Time),
-		grantedUntil:  make(map[content.ID]time.Time),
+		self:             self,
+		fleet:            Fleet{Homes: []rendezvous.Node{rendezvous.NewNode(self, "")}},
+		suspects:         make(map[content.ID]*suspect),
+		clearedAt:        make(map[content.ID]time.Time),
+		answers:          newAnswerHistory(),
+		lastTrial:        make(map[content.ID]time.Time),
+		trialRequestedAt: make(map[content.ID]time.Time),
+		grantedUntil:     make(map[content.ID]time.Time),
 
 		answeredBefore: make(map[content.ID]time.Time),
 
@@ -122,7 +122,7 @@
 // Ended takes what this host has seen itself.
 func (t *Table) Ended(now time.Time, id content.ID, end End) {
 	end.Host = t.self
-	s := t.suspectFor(now, id)
+	s := t.suspect(now, id)
 	s.observed = newestCrashes(append(s.observed, end))
 	s.resendAt = now.Add(resendDelay)
 	t.due.Add(s.resendAt)
@@ -159,7 +159,7 @@
 		}
 		end := End{Scope: scope, Service: told.Service, Server: told.Server, At: now.Add(-ageOf(told)), Host: d.From}
 		if t.isEvidence(now, id, end) {
-			t.addCrash(now, t.suspectFor(now, id), end)
+			t.addCrash(now, t.suspect(now, id), end)
 		}
 	}
 	for _, id := range parseIDs(d.Served) {
