--- a/internal/content/content.go
+++ b/internal/content/content.go
@@ -1,9 +1,9 @@
-// Package content tells whether two requests are the same one that came again: same
-// method, target, body and credentials, whatever their IDs and wherever they come from. It
-// keeps a digest only, so that neither path, body nor key can be read from it.
+// Package content computes a fingerprint of a request, by which a repeated request is
+// recognized: same method, target, body and credentials, regardless of request ID and origin.
+// The fingerprint is a digest, so the path, body and credentials cannot be recovered from it.
 //
-// The network address of the caller is no part of it: one that comes again does so from any
-// machine of its sender, and through whatever stands before the hosts.
+// The network address of the caller is not part of the fingerprint, because a request may be
+// repeated from any machine of its sender and through any proxy in front of the hosts.
 package content
 
 import (
@@ -14,32 +14,32 @@
 	"golang.org/x/crypto/blake2b"
 )
 
-// idSize is the length of an ID: two requests of a year at 140,000 a second have the same
-// one by chance with a likelihood of 1e-13.
+// idSize is the length of an ID in bytes. At 140,000 requests per second, the probability that
+// any two requests of a year collide is 1e-13.
 const idSize = 16
 
-// labelSize of an ID are what logs show: enough to tell the requests of a day apart, too
-// little to try contents against it.
+// labelSize is the number of bytes of an ID that logs show: enough to distinguish the requests
+// of a day, too few to test guessed contents against it.
 const labelSize = 4
 
-// domain keeps the digests apart from all others of the same bytes.
+// domain is the hash key. It separates these digests from other digests of the same bytes.
 var domain = []byte("pearshelf request content 1")
 
 // ID is a keyed BLAKE2b hash (RFC 7693).
 type ID [idSize]byte
 
-// Request is what identifies a request.
+// Request holds the parts of a request that identify it.
 type Request struct {
 	Method string
 	Host   string
-	// Target is path and query as they came.
+	// Target is the path and query as received.
 	Target string
-	// Customer is the name of the customer that sent it, empty for none, and Credentials
-	// what else it shows of who sent it, in the order in which it came.
+	// Customer is the name of the customer that sent the request, empty if there is none.
+	// Credentials are all other credentials that it carries, in the order received.
 	Customer    string
 	Credentials []string
-	// Body is the whole body. It is left out of the ID of a Streamed request, whose body
-	// is passed on as it comes and is not known before it is sent.
+	// Body is the complete body. The body of a Streamed request is not part of its ID: it is
+	// forwarded as it arrives and is not known before the request is sent.
 	Body     []byte
 	Streamed bool
 }
@@ -48,7 +48,7 @@
 func Of(r Request) ID {
 	hash, err := blake2b.New(idSize, domain)
 	if err != nil {
-		panic(err) // length and domain are constants of this package
+		panic(err) // unreachable: size and key are valid constants
 	}
 	head := make([]byte, 0, 256)
 	for _, part := range [...]string{r.Method, r.Host, r.Target, r.Customer} {
@@ -63,35 +63,35 @@
 	} else {
 		head = append(head, 0)
 	}
-	_, _ = hash.Write(head) // a hash.Hash never fails
+	_, _ = hash.Write(head) // hash.Hash.Write never returns an error
 	_, _ = hash.Write(r.Body)
 	var id ID
 	hash.Sum(id[:0])
 	return id
 }
 
-// appendPart adds a text with its length, so that no two lists of texts are alike.
+// appendPart appends a length-prefixed string, which keeps the encoding of a list unambiguous.
 func appendPart(head []byte, part string) []byte {
 	head = binary.AppendUvarint(head, uint64(len(part)))
 	return append(head, part...)
 }
 
-// Parse reads what String wrote.
+// Parse parses an ID in the format returned by String.
 func Parse(text string) (ID, error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != idSize {
-		return ID{}, fmt.Errorf("%q is no ID of a request's content", text)
+		return ID{}, fmt.Errorf("invalid request content ID %q: want 32 hexadecimal digits", text)
 	}
 	return ID(raw), nil
 }
 
-// String returns the whole ID in hexadecimal.
+// String returns the ID in hexadecimal.
 func (id ID) String() string { return hex.EncodeToString(id[:]) }
 
-// Label returns the short form for logs.
+// Label returns an abbreviated ID for logs.
 func (id ID) Label() string { return hex.EncodeToString(id[:labelSize]) }
 
-// FromBytes returns the ID that a message holds, and whether it is one.
+// FromBytes decodes an ID from a message; ok is false if raw has the wrong length.
 func FromBytes(raw []byte) (id ID, ok bool) {
 	if len(raw) != idSize {
 		return ID{}, false
