--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,4 +1,5 @@
-// Package verdict keeps the votes of watchers as registers.
+// Package verdict stores the votes of watchers against backend servers in replicated
+// registers and counts them.
 package verdict
 
 import (
@@ -14,19 +15,21 @@
 const (
 	prefix = "verdict/"
 
-	// TTL ends a vote whose watcher is gone. It is long, because every renewal
-	// costs datagrams on every host, and a watcher that changes its mind says so.
+	// TTL is the lifetime of a vote that is not renewed because its watcher is gone. It is
+	// long because every renewal costs datagrams on every host, and a live watcher withdraws
+	// its vote explicitly.
 	TTL = 10 * time.Minute
-	// RenewEvery is the period of renewals.
+	// RenewEvery is the interval at which a watcher renews its vote.
 	RenewEvery = TTL / 3
 )
 
-// key returns the register key of one vote.
+// key returns the register key of a watcher's vote.
 func key(service, backend, watcher string) string {
 	return prefix + service + "/" + backend + "/" + watcher
 }
 
-// Cast writes this host's vote and sends it straight to the owners.
+// Cast records this host's vote against a backend server and sends it to the service's owners
+// immediately.
 func Cast(w *world.World, now time.Time, svc *world.Service, b *world.BackendServer) {
 	value, err := proto.Marshal(&peerpb.Verdict{
 		Service:  svc.Config.Name,
@@ -53,6 +56,7 @@
 	})
 }
 
+// writeVote writes a vote's register and queues it for immediate delivery to the owners.
 func writeVote(w *world.World, now time.Time, svc *world.Service, r *peerpb.Register) {
 	w.Write(now, r)
 	var owners []string
@@ -64,16 +68,15 @@
 	svc.Busy = true
 }
 
-// Tally is the votes against one backend server.
+// Tally summarizes the votes against one backend server.
 type Tally struct {
 	Votes    int
 	Relapses int
-	// First is the earliest vote's stamp, which orders ejections alike on all
-	// hosts.
+	// First is the stamp of the earliest vote. All hosts order ejections by it, so they agree.
 	First *peerpb.Stamp
 }
 
-// Count tallies the votes on a service's backend servers.
+// Count returns the tally of each backend server of a service that has votes against it.
 func Count(w *world.World, service string) map[string]Tally {
 	tallies := make(map[string]Tally)
 	for _, r := range w.Registers.Prefix(prefix + service + "/") {
@@ -92,13 +95,13 @@
 	return tallies
 }
 
-// Majority is the number of votes that ejects.
+// Majority returns the number of votes required to eject a backend server.
 func Majority(svc *world.Service) int {
 	return len(svc.Watchers)/2 + 1
 }
 
-// ServiceOf returns the service that a register votes on, and whether the
-// register is a vote.
+// ServiceOf returns the service that a vote's register belongs to; ok is false if the register
+// is not a vote.
 func ServiceOf(r *peerpb.Register) (service string, ok bool) {
 	rest, found := strings.CutPrefix(r.GetKey(), prefix)
 	if !found {
