--- a/internal/quarantine/decide.go
+++ b/internal/quarantine/decide.go
@@ -7,14 +7,16 @@
 	"github.com/pearshelf/pearshelf/internal/content"
 )
 
-// Decision is a change that all hosts must be told of.
+// Decision is a change to the quarantines that must be sent to all hosts.
 type Decision struct {
-	// Quarantine begins or is renewed; nil for a content that is cleared.
+	// Quarantine is the quarantine that begins or is extended; nil if a content is cleared.
 	Quarantine *Quarantine
-	Cleared    content.ID
+	// Cleared is the content whose quarantine ends, if Quarantine is nil.
+	Cleared content.ID
 }
 
-// scheduleDecision makes a decision due where there is evidence for one.
+// scheduleDecision schedules a decision on a content if the evidence calls for one. Homes decide
+// in the order of their rank, rankDelay apart, so that normally only the first one does.
 func (t *Table) scheduleDecision(now time.Time, s *suspect) {
 	t.dropLifted(s)
 	if !s.decideAt.IsZero() || !t.needsDecision(s) {
@@ -23,21 +25,22 @@
 	rank := slices.Index(t.homesOf(s.id), t.self)
 	if rank < 0 {
 		if len(s.observed) == 0 || len(s.observed) < s.observed[0].Scope.threshold() {
-			return // the homes decide
+			return // left to the homes
 		}
-		rank = homesPerContent // unless none of them does
+		rank = homesPerContent // after all homes, in case none of them decides
 	}
 	s.decideAt = now.Add(time.Duration(rank) * rankDelay)
 	t.due.Add(s.decideAt)
 	t.decideIfDue(now, s)
 }
 
-// dropLifted drops ends from before the content was last lifted.
+// dropLifted drops the crashes from before the content's quarantine was last lifted.
 func (t *Table) dropLifted(s *suspect) {
 	s.crashes = slices.DeleteFunc(s.crashes, func(e End) bool { return !t.view.isEvidence(s.id, e) })
 }
 
-// needsDecision reports whether a content's ends call for a quarantine, or for a longer one.
+// needsDecision reports whether a content's crashes call for a quarantine, or for extending the
+// present one.
 func (t *Table) needsDecision(s *suspect) bool {
 	q := t.view.Get(s.id)
 	if q == nil {
@@ -46,7 +49,7 @@
 	return slices.ContainsFunc(s.crashes, func(e End) bool { return e.At.After(q.Until) && !q.covers(e) })
 }
 
-// decideIfDue puts a content under quarantine once this home's time has come.
+// decideIfDue puts a content under quarantine once its scheduled decision is due.
 func (t *Table) decideIfDue(now time.Time, s *suspect) {
 	if s.decideAt.IsZero() || now.Before(s.decideAt) {
 		return
@@ -54,7 +57,7 @@
 	s.decideAt = time.Time{}
 	t.dropLifted(s)
 	if !t.needsDecision(s) {
-		return // another home has decided
+		return // another home has already decided
 	}
 	if !t.allowDecision(now) {
 		s.decideAt = t.secondStart.Add(time.Second)
@@ -76,7 +79,8 @@
 	}})
 }
 
-// allowDecision counts a decision against the bound of this second.
+// allowDecision reports whether the limit of decisions per second permits another one, and counts
+// it.
 func (t *Table) allowDecision(now time.Time) bool {
 	if now.Sub(t.secondStart) >= time.Second {
 		t.secondStart = now
--- a/internal/quarantine/message.go
+++ b/internal/quarantine/message.go
@@ -9,22 +9,23 @@
 	"github.com/pearshelf/pearshelf/internal/rendezvous"
 )
 
-// Message is what this host has to tell another one.
+// Message is a message to another host.
 type Message struct {
-	To     string // host name
-	Ends   []*peerpb.ServerEnd
-	Served [][]byte
-	Asks   [][]byte // contents that this host would try
-	Grants [][]byte // contents that the other host may try
-	// Answered are contents in quarantine that this host has seen answered before.
+	To     string              // host name
+	Ends   []*peerpb.ServerEnd // crashes that this host has observed
+	Served [][]byte            // contents that were answered
+	Asks   [][]byte            // contents for which this host requests a trial
+	Grants [][]byte            // contents for which the receiver is granted a trial
+	// Answered are contents in quarantine that this host has seen answered before the crashes.
 	Answered [][]byte
 }
 
+// homesOf returns the home hosts of a content by rank.
 func (t *Table) homesOf(id content.ID) []string {
 	return rendezvous.Top(id.String(), t.fleet.Homes, homesPerContent)
 }
 
-// reportCrashes tells hosts of the ends that this one has seen.
+// reportCrashes reports the crashes that this host has observed to other hosts.
 func (t *Table) reportCrashes(now time.Time, s *suspect, hosts []string) {
 	for _, host := range hosts {
 		if host == t.self {
@@ -41,7 +42,8 @@
 	}
 }
 
-// reportToNewHomes tells those that have become a content's home.
+// reportToNewHomes reports this host's observed crashes to hosts that have become a home of the
+// content since the last report.
 func (t *Table) reportToNewHomes(now time.Time, s *suspect) {
 	if len(s.observed) == 0 {
 		return
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,25 +1,27 @@
-// Package quarantine keeps a request that ends the servers which run it from ending more
-// of them. Such a request comes again, each time with another ID and through any host, so
-// that no host alone sees what it does.
+// Package quarantine limits the damage of requests that crash the servers which run them. Such
+// a request is repeated, each time under another request ID and through any host, so that no
+// single host sees the pattern.
 //
-// A host whose connection breaks because the server at its other end has ended is a
-// witness: it tells the request's content (package content) and the server to the content's
-// homes, three hosts that are the same by every host's list of live hosts (rendezvous). A
-// home that has been told of three servers puts the content under quarantine: a register in
-// the memory of all hosts, told to all of them at once. They refuse it then, without asking
-// anybody. The same is kept of all requests of a caller on a route, with more servers, for
-// callers whose requests differ by a byte each time.
+// A host whose connection breaks because the server's process is gone reports the crash: it
+// sends the request's fingerprint (package content) and the server's ID to the content's home
+// hosts. These are three hosts chosen by rendezvous hashing over the live hosts, so that all
+// hosts agree on them. A home that knows of crashes of three servers puts the content under
+// quarantine: it writes a replicated register and announces it to all hosts at once. From then
+// on each host refuses the content on its own. All requests of one caller on one route are
+// tracked in the same way, with a higher threshold, because a caller may send requests that
+// differ by a byte each time.
 //
-// Requests that merely were at the same servers are told apart by their answers: a whole
-// answer to a content clears it, because what ends servers never gets one. Without that a
-// popular read is refused as soon as three servers end by themselves. Each host remembers for
-// some seconds what it has passed on answers to, because homes hear of answers only from hosts
-// that have seen a server end. A hold ends by itself: then one host at a time sends the content
-// once, by a grant of its first home; at once where a host remembers an answer from before the
-// ends.
+// Harmless requests that were merely in progress at the same servers are recognized by their
+// answers: a complete answer clears a content, because a request that crashes servers never
+// gets one. Without this rule a popular read would be refused as soon as three servers crash
+// for other reasons. Each host remembers for some seconds which contents it has passed on
+// answers to, because only hosts that have seen a crash report answers to the homes. A hold
+// expires by itself. After that, one host at a time may send the content once, as a trial that
+// its first home grants. If a host remembers an answer from before the crashes, a trial is
+// granted at once.
 //
-// The package is pure: time is passed in, messages and decisions are handed out, nothing
-// runs by itself.
+// The package does no I/O and starts no goroutines or timers: the current time is a parameter,
+// and messages and decisions are returned to the package's user.
 package quarantine
 
 import (
@@ -33,73 +35,81 @@
 )
 
 const (
-	// contentThreshold is how many servers must have ended while they had a content. With two, a
-	// request that is repeated once beside a server's own end and the next would be refused.
+	// contentThreshold is how many servers must have crashed while they ran a content. With
+	// two, a request that is retried once would be refused if both servers happened to crash
+	// for other reasons.
 	contentThreshold = 3
-	// callerThreshold is the same for all requests of a caller on a route: one whose requests
-	// differ each time is found by it. Twice as many, because a caller has several requests
-	// under way, and three servers that end by themselves may lose it one each.
+	// callerThreshold is the same for all requests of a caller on a route; it detects a caller
+	// whose requests differ each time. It is twice as high because a caller has several
+	// requests in progress, and three unrelated crashes may each break one of them.
 	callerThreshold = 6
-	// sameCrashWindow is within how much of each other two ends of one server are the same one, seen
-	// by two hosts (a round trip and a check apart). Later it is another process that has
-	// the server's ID: one needs longer than that to start.
+	// sameCrashWindow is the maximum time between two reports of a server's crash that count
+	// as the same one, observed by two hosts (a round trip and a check apart). A later report
+	// concerns a new process with the same server ID, which takes longer than that to start.
 	sameCrashWindow = time.Second
-	// homesPerContent of a content: with half of all hosts killed at once one in eight contents
-	// loses what it was known for.
+	// homesPerContent is the number of homes of a content. With three, if half of all hosts are
+	// killed at once, the evidence against one in eight contents is lost.
 	homesPerContent = 3
-	// rankDelay is how much longer each next home waits before it decides, so that one
-	// does: a decision reaches the others within some 10 ms.
+	// rankDelay is how much longer each further home waits before it decides, so that normally
+	// only one does: a decision reaches the other homes within about 10 ms.
 	rankDelay = 150 * time.Millisecond
-	// resendDelay is when an end is told once more, in case the datagram was lost.
+	// resendDelay is the delay after which a crash is reported again, in case the datagram was
+	// lost.
 	resendDelay = 100 * time.Millisecond
-	// evidenceTTL is how long an end counts. Longer finds contents that come seldom: one that
-	// runs once each arrival, every three minutes, is found at its third arrival.
+	// evidenceTTL is how long a crash counts as evidence. It must be long enough for rare
+	// contents: one that arrives every three minutes and runs once per arrival is detected at
+	// its third arrival.
 	evidenceTTL = 10 * time.Minute
-	// initialHold is the length of a quarantine. Each trial that ends another server makes
-	// the next one longer by holdGrowth, up to longestHold: a content that always ends
-	// servers ends one in 30 s, 2 min, 8 min, 32 min and each hour after.
+	// initialHold is the length of a first quarantine. Each trial that crashes another server
+	// extends the next one by holdFactor, up to maxHold: a content that always crashes servers
+	// crashes one after 30 s, 2 min, 8 min, 32 min and then every hour.
 	initialHold = 30 * time.Second
-	// initialCallerHold is the same for a caller. Requests of many people may come from one
-	// address; while all servers are down none of them is answered, and the first one tried
-	// after it ends the quarantine for all.
+	// initialCallerHold is the same for a caller. It is shorter because many users may share
+	// one address: while all servers are down none of them gets an answer, and the first
+	// successful trial afterwards ends the quarantine for all of them.
 	initialCallerHold = 5 * time.Second
 	holdFactor        = 4
 	maxHold           = time.Hour
-	// trialRequestInterval is how often a host asks a home for a trial.
+	// trialRequestInterval is the minimum time between two requests of a host for a trial of
+	// the same content.
 	trialRequestInterval = time.Second
-	// trialPeriod is for how long after a hold a content stays on trial before it is forgotten.
+	// trialPeriod is how long after its hold a content remains on trial before its quarantine
+	// is forgotten.
 	trialPeriod = 2 * time.Hour
-	// trialInterval is when another trial may begin if one told nothing.
+	// trialInterval is the minimum time between two trials of a content, for the case that the
+	// first one had no result.
 	trialInterval = 10 * time.Second
-	// liftRetryInterval is when a host decides once more that a quarantine ends, if it is still held.
+	// liftRetryInterval is the time after which a host decides again to lift a quarantine that
+	// is still in force.
 	liftRetryInterval = time.Second
-	// maxSuspects bounds the contents that a host has evidence of, some 400 bytes each.
-	// When full the oldest goes: a content that comes again is found by its next ends.
+	// maxSuspects bounds the contents that a host holds evidence against, at about 400 bytes
+	// each. When the table is full the oldest entry is evicted; a content that is repeated is
+	// detected by its next crashes.
 	maxSuspects = 4096
-	// maxCrashes bounds the ends that are kept of a content; operators are shown them.
+	// maxCrashes bounds the crashes that are kept for a content and shown to operators.
 	maxCrashes = 8
-	// maxDecisionsPerSecond bounds a home's decisions in a second: each is told to all hosts. What
-	// is beyond it waits for the next second.
+	// maxDecisionsPerSecond bounds a home's decisions, because each one is sent to all hosts.
+	// Decisions above the limit are deferred to the next second.
 	maxDecisionsPerSecond = 20
 )
 
-// Scope says which requests are one to the quarantine.
+// Scope determines which requests a quarantine applies to.
 type Scope int
 
 // Scopes.
 const (
-	// ScopeContent: the same request that comes again.
+	// ScopeContent covers repetitions of the same request.
 	ScopeContent Scope = iota
-	// ScopeCaller: all requests of one caller on one route, whatever they are.
+	// ScopeCaller covers all requests of one caller on one route, whatever their content.
 	ScopeCaller
 )
 
 var scopeNames = [...]string{"request", "caller"}
 
-// String returns the name that operators see.
+// String returns the name shown to operators.
 func (s Scope) String() string { return scopeNames[s] }
 
-// threshold is how many servers must have ended.
+// threshold returns how many servers must have crashed before requests are refused.
 func (s Scope) threshold() int {
 	if s == ScopeCaller {
 		return callerThreshold
@@ -107,30 +117,30 @@
 	return contentThreshold
 }
 
-// End is the end of a server while it had a request.
+// End is the crash of a server while it ran a request: its process is gone.
 type End struct {
 	Scope   Scope
 	Service string
 	Server  string
-	// At is when the connection broke, Host the one that lost it.
+	// At is when the connection broke, and Host the host that observed it.
 	At   time.Time
 	Host string
 }
 
-// sameCrash reports whether two hosts speak of one end of a server.
+// sameCrash reports whether two reports concern the same crash of a server.
 func (e End) sameCrash(other End) bool {
 	return e.Server == other.Server && e.At.Sub(other.At).Abs() < sameCrashWindow
 }
 
-// Subject is a request as the quarantine knows it.
+// Subject identifies a request to the quarantine.
 type Subject struct {
 	Content content.ID
-	// Caller is the same for all requests of one caller on one route, zero if it is not
-	// known who the caller is.
+	// Caller is the same for all requests of one caller on one route. It is zero if the caller
+	// is unknown.
 	Caller content.ID
 }
 
-// IDs returns what may be refused, by scope.
+// IDs returns the IDs under which the request may be refused, indexed by scope.
 func (s Subject) IDs() []content.ID {
 	if s.Caller == (content.ID{}) {
 		return []content.ID{ScopeContent: s.Content}
@@ -138,22 +148,22 @@
 	return []content.ID{ScopeContent: s.Content, ScopeCaller: s.Caller}
 }
 
-// Quarantine is a content that is refused.
+// Quarantine is the quarantine of a content.
 type Quarantine struct {
 	Content content.ID
 	Scope   Scope
 	Service string
 	Ends    []End
-	// Until is when the hold is over and the content is on trial.
+	// Until is the end of the hold. From then on the content is on trial.
 	Until time.Time
-	// Trials that have ended another server.
+	// Trials is the number of trials that crashed another server.
 	Trials int
 }
 
-// covers reports whether an end is one of those for which the content is held.
+// covers reports whether a crash is already part of the evidence for the quarantine.
 func (q *Quarantine) covers(end End) bool { return slices.ContainsFunc(q.Ends, end.sameCrash) }
 
-// holdDuration is the length of a quarantine after a number of trials that failed.
+// holdDuration returns the length of a hold after a number of failed trials.
 func (s Scope) holdDuration(trials int) time.Duration {
 	length := initialHold
 	if s == ScopeCaller {
@@ -165,10 +175,11 @@
 	return length
 }
 
-// View is the contents in quarantine, as all hosts have them. It does not change.
+// View is an immutable snapshot of the contents in quarantine, as replicated to all hosts.
 type View struct {
 	byContent map[content.ID]*Quarantine
-	// liftedAt is when contents were cleared of what servers had done until then.
+	// liftedAt holds when the quarantine of each content was last lifted. Earlier crashes are
+	// no evidence against it.
 	liftedAt map[content.ID]time.Time
 }
 
@@ -181,7 +192,7 @@
 	return v
 }
 
-// Empty reports whether nothing is in quarantine.
+// Empty reports whether no content is in quarantine.
 func (v *View) Empty() bool { return v == nil || len(v.byContent) == 0 }
 
 // Get returns the quarantine of a content, nil if there is none.
@@ -192,8 +203,8 @@
 	return v.byContent[id]
 }
 
-// isEvidence reports whether an end is evidence against a content: it must be later than what
-// an answer, or an operator, has cleared.
+// isEvidence reports whether a crash is evidence against a content: it must be later than the
+// last time that an answer or an operator lifted the content's quarantine.
 func (v *View) isEvidence(id content.ID, end End) bool {
 	if v == nil {
 		return true
@@ -202,8 +213,8 @@
 	return !known || end.At.After(lifted)
 }
 
-// Supersedes reports whether a decision comes too late: another home has made it, or all of
-// its ends lie before the content was lifted.
+// Supersedes reports whether a decision is out of date: another home has already made it, or
+// the quarantine was lifted after all of its crashes.
 func (v *View) Supersedes(decided *Quarantine) bool {
 	if held := v.Get(decided.Content); held != nil && held.Trials >= decided.Trials {
 		return true
@@ -211,7 +222,7 @@
 	return !slices.ContainsFunc(decided.Ends, func(e End) bool { return v.isEvidence(decided.Content, e) })
 }
 
-// All returns the contents in quarantine, the newest first.
+// All returns the quarantines, those with the latest end of their hold first.
 func (v *View) All() []*Quarantine {
 	if v == nil {
 		return nil
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -12,15 +12,17 @@
 	"github.com/pearshelf/pearshelf/internal/register"
 )
 
+// prefix is the key prefix of all quarantine registers.
 const prefix = "quarantine/"
 
-// Key returns the register key of a content.
+// Key returns the register key of a content's quarantine.
 func Key(id content.ID) string { return prefix + id.String() }
 
-// Is reports whether a register holds a quarantine.
+// Is reports whether a register belongs to a quarantine.
 func Is(r *peerpb.Register) bool { return strings.HasPrefix(r.GetKey(), prefix) }
 
-// Register returns an unstamped register that holds a quarantine as of now.
+// Register encodes a quarantine as an unstamped register. Times are encoded as ages relative to
+// now.
 func (q *Quarantine) Register(now time.Time) (*peerpb.Register, error) {
 	value := &peerpb.Quarantine{Service: q.Service, Scope: peerpb.QuarantineScope(q.Scope), Trials: uint32(q.Trials)}
 	for _, e := range q.Ends {
@@ -34,13 +36,13 @@
 	return &peerpb.Register{Key: Key(q.Content), Value: raw, TtlMs: uint64(life.Milliseconds())}, nil
 }
 
-// Lift returns an unstamped register that ends the quarantine of a content. It is kept for
-// as long as an older value could come from a host that was cut off.
+// Lift returns an unstamped register that deletes the quarantine of a content. The tombstone is
+// kept for as long as a host that was partitioned could bring back an older value.
 func Lift(id content.ID) *peerpb.Register {
 	return &peerpb.Register{Key: Key(id), Deleted: true, TtlMs: uint64((maxHold + trialPeriod).Milliseconds())}
 }
 
-// InForce returns the quarantines that a host's registers hold.
+// InForce returns the quarantines in a host's registers.
 func InForce(store *register.Store) []*Quarantine {
 	var all []*Quarantine
 	for _, r := range store.Prefix(prefix) {
@@ -51,29 +53,31 @@
 	return all
 }
 
-// ViewOf returns the view that a host's registers give.
+// ViewOf builds a view of the quarantines and lifts in a host's registers.
 func ViewOf(store *register.Store) *View {
 	v := NewView(InForce(store))
 	for _, r := range store.Deleted(prefix) {
-		if id, err := content.Parse(strings.TrimPrefix(r.Key, prefix)); err == nil { // else not of this version
+		if id, err := content.Parse(strings.TrimPrefix(r.Key, prefix)); err == nil { // otherwise a key of another version
 			v.liftedAt[id] = hlc.Timestamp(r.Stamp.Clock).Time()
 		}
 	}
 	return v
 }
 
+// parse decodes a quarantine; ok is false for a register that another version of the daemon wrote
+// in a form that this one does not know.
 func parse(store *register.Store, r *peerpb.Register) (*Quarantine, bool) {
 	id, err := content.Parse(strings.TrimPrefix(r.Key, prefix))
 	if err != nil {
-		return nil, false // not of this version of the daemon
+		return nil, false
 	}
 	value := &peerpb.Quarantine{}
 	if proto.Unmarshal(r.Value, value) != nil {
-		return nil, false // likewise
+		return nil, false
 	}
 	scope, ok := parseScope(value.Scope)
 	if !ok {
-		return nil, false // likewise
+		return nil, false
 	}
 	q := &Quarantine{Content: id, Scope: scope, Service: value.Service, Trials: int(value.Trials), Until: store.Expiry(r.Key).Add(-trialPeriod)}
 	written := q.Until.Add(-q.Scope.holdDuration(q.Trials))
@@ -83,9 +87,10 @@
 	return q, true
 }
 
-// parseScope reads a scope, and reports whether this version of the daemon knows it.
-func parseScope(told peerpb.QuarantineScope) (Scope, bool) {
-	return Scope(told), told >= 0 && int(told) < len(scopeNames)
+// parseScope converts a scope from its wire form; ok is false if this version of the daemon does
+// not know it.
+func parseScope(scope peerpb.QuarantineScope) (Scope, bool) {
+	return Scope(scope), scope >= 0 && int(scope) < len(scopeNames)
 }
 
 func ageMs(now, at time.Time) uint32 { return uint32(max(now.Sub(at).Milliseconds(), 0)) }
--- a/internal/quarantine/suspect.go
+++ b/internal/quarantine/suspect.go
@@ -7,21 +7,22 @@
 	"github.com/pearshelf/pearshelf/internal/content"
 )
 
-// suspect is what a host knows of a content.
+// suspect is the evidence that a host holds against a content.
 type suspect struct {
 	id      content.ID
 	crashes []End
-	// observed are those of the ends that this host has seen itself, told the hosts that were
-	// told of them, and tellAgain when they are told once more, zero if they have been.
+	// observed are the crashes that this host has observed itself, and notified the hosts that
+	// they were reported to. They are reported once more at resendAt, which is zero after that.
 	observed []End
 	notified []string
 	resendAt time.Time
-	// decideAt is when this home decides, unless another has; zero if nothing is due.
+	// decideAt is when this host decides unless another one has done so before; zero if no
+	// decision is scheduled.
 	decideAt  time.Time
 	updatedAt time.Time
 }
 
-// suspect returns the row of a content, made if absent.
+// suspect returns the entry of a content, creating it if necessary.
 func (t *Table) suspect(now time.Time, id content.ID) *suspect {
 	s, ok := t.suspects[id]
 	if !ok {
@@ -34,7 +35,7 @@
 	return s
 }
 
-// evictOldest drops the row that has been unchanged for longest, if there are too many.
+// evictOldest evicts the least recently updated entry if the table is full.
 func (t *Table) evictOldest() {
 	if len(t.suspects) < maxSuspects {
 		return
@@ -48,13 +49,14 @@
 	delete(t.suspects, oldest.id)
 }
 
-// isEvidence reports whether an end is still evidence against a content.
+// isEvidence reports whether a crash is still evidence against a content: it has not expired, and
+// the content has not been answered since.
 func (t *Table) isEvidence(now time.Time, id content.ID, end End) bool {
 	cleared, known := t.clearedAt[id]
 	return now.Sub(end.At) <= evidenceTTL && (!known || end.At.After(cleared))
 }
 
-// addCrash notes the end of a server, once however many hosts tell of it.
+// addCrash records a server's crash. Reports of the same crash by several hosts count once.
 func (t *Table) addCrash(now time.Time, s *suspect, end End) {
 	if slices.ContainsFunc(s.crashes, end.sameCrash) {
 		return
@@ -63,10 +65,10 @@
 	t.scheduleDecision(now, s)
 }
 
-// newestCrashes keeps as many ends as are of use.
+// newestCrashes returns the last maxCrashes elements.
 func newestCrashes(ends []End) []End { return ends[max(len(ends)-maxCrashes, 0):] }
 
-// clear forgets the ends of a content that has been answered, and ends its quarantine.
+// clear drops the evidence against a content that was answered, and lifts its quarantine.
 func (t *Table) clear(now time.Time, id content.ID) {
 	delete(t.suspects, id)
 	if len(t.clearedAt) < maxSuspects {
@@ -76,7 +78,8 @@
 	t.lift(now, id)
 }
 
-// lift ends the quarantine of a content, once: many hosts may tell of answers before all know.
+// lift decides that the quarantine of a content ends. It does so once per liftRetryInterval,
+// because many hosts may report answers before the decision has reached them.
 func (t *Table) lift(now time.Time, id content.ID) {
 	if t.view.Get(id) == nil {
 		return
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -10,45 +10,46 @@
 	"github.com/pearshelf/pearshelf/internal/wakeup"
 )
 
-// Fleet is the hosts that may be a content's home.
+// Fleet is the set of hosts that may be the home of a content.
 type Fleet struct {
-	// Version grows with every change.
+	// Version increases with every change.
 	Version uint64
-	// Homes are the hosts, this one included.
+	// Homes are the hosts, including this one.
 	Homes []rendezvous.Node
 }
 
-// Table is one host's evidence, as a witness and as a home. It is not safe for concurrent
-// use.
+// Table holds one host's evidence, both observed by itself and reported to it as a home. It is
+// not safe for concurrent use.
 type Table struct {
 	self     string
 	fleet    Fleet
 	view     *View
 	suspects map[content.ID]*suspect
-	// clearedAt is when contents were last answered that had been suspects; older ends of
-	// them do not count.
+	// clearedAt holds when suspects were last cleared by an answer; earlier crashes are no
+	// evidence against them.
 	clearedAt map[content.ID]time.Time
 	answers   *answerHistory
 	due       wakeup.Next
-	// lastTrial are when this host, as first home, last let a content be tried; asked when it
-	// last asked another one, and granted until when it may send a content itself.
+	// lastTrial holds when this host, as first home, last granted a trial of a content;
+	// trialRequestedAt when it last requested one from another host; and grantedUntil until
+	// when it may use a trial that was granted to it.
 	lastTrial        map[content.ID]time.Time
 	trialRequestedAt map[content.ID]time.Time
 	grantedUntil     map[content.ID]time.Time
-	// answeredBefore is when hosts told this one, as first home, that they had seen a content
-	// in quarantine answered before.
+	// answeredBefore holds when other hosts reported to this one, as first home, that they
+	// remember an answer to a content from before its quarantine.
 	answeredBefore map[content.ID]time.Time
-	// liftedAt is when this host last decided that a quarantine ends.
+	// liftedAt holds when this host last decided to lift a quarantine.
 	liftedAt map[content.ID]time.Time
 
 	messages  []Message
 	decisions []Decision
-	// decidedInSecond counts the decisions of the second that began at second.
+	// decidedInSecond counts the decisions of the second that began at secondStart.
 	decidedInSecond int
 	secondStart     time.Time
 }
 
-// NewTable returns the table of a host.
+// NewTable returns an empty table for the host named self.
 func NewTable(self string) *Table {
 	return &Table{
 		self:             self,
@@ -66,8 +67,7 @@
 	}
 }
 
-// SetFleet tells of the hosts that are live now. Ends that this host has seen are told to
-// new homes.
+// SetFleet sets the live hosts. Crashes that this host has observed are reported to new homes.
 func (t *Table) SetFleet(now time.Time, fleet Fleet) {
 	changed := fleet.Version != t.fleet.Version
 	t.fleet = fleet
@@ -79,9 +79,9 @@
 	}
 }
 
-// SetView tells of the contents in quarantine, and of those that were lifted. Of one that this host
-// has seen answered meanwhile it tells the homes: they have decided by what hosts told that lost the
-// content to servers' ends, and hear of answers from these hosts only.
+// SetView sets the quarantines in force and those that were lifted. If this host remembers an answer
+// to a content that is newly in quarantine, it reports that to the homes: they have decided on the
+// reports of hosts that observed the crashes, and learn of answers from these hosts only.
 func (t *Table) SetView(now time.Time, view *View) {
 	before := t.view
 	t.view = view
@@ -96,8 +96,8 @@
 	}
 }
 
-// reportAnsweredBefore lets the first home of a content know that it most likely does nothing wrong,
-// so that whichever host gets it next may try it.
+// reportAnsweredBefore reports to the first home of a content that it was answered before the
+// crashes and is most likely harmless, so that the next host that receives it may try it.
 func (t *Table) reportAnsweredBefore(now time.Time, id content.ID) {
 	first := t.homesOf(id)[0]
 	if first == t.self {
@@ -107,8 +107,8 @@
 	t.messages = append(t.messages, Message{To: first, Answered: [][]byte{id[:]}})
 }
 
-// clearAnswered takes that an answer by way of this host clears a content. Only homes lift the
-// quarantine: all hosts may have had such an answer.
+// clearAnswered handles a quarantine that this host's remembered answers refute. Only homes lift it,
+// because every host may remember such an answer.
 func (t *Table) clearAnswered(now time.Time, id content.ID) {
 	t.reportAnswer(id)
 	if slices.Contains(t.homesOf(id), t.self) {
@@ -116,10 +116,10 @@
 	}
 }
 
-// Watches reports whether this host has evidence of any content.
+// Watches reports whether this host holds evidence against any content.
 func (t *Table) Watches() bool { return len(t.suspects) > 0 }
 
-// Ended takes what this host has seen itself.
+// Ended records a crash that this host has observed itself, and reports it to the content's homes.
 func (t *Table) Ended(now time.Time, id content.ID, end End) {
 	end.Host = t.self
 	s := t.suspect(now, id)
@@ -130,7 +130,7 @@
 	t.addCrash(now, s, end)
 }
 
-// Served takes that a server has answered a request of a content whole.
+// Served records that a server has given a complete answer to a content.
 func (t *Table) Served(now time.Time, id content.ID) {
 	t.answers.record(now, id)
 	if t.suspects[id] == nil && t.view.Get(id) == nil {
@@ -140,7 +140,7 @@
 	t.clear(now, id)
 }
 
-// reportAnswer tells the homes of a content that it was answered.
+// reportAnswer reports to the homes of a content that it was answered.
 func (t *Table) reportAnswer(id content.ID) {
 	for _, home := range t.homesOf(id) {
 		if home != t.self {
@@ -149,15 +149,15 @@
 	}
 }
 
-// Receive takes what another host tells.
+// Receive processes a datagram from another host.
 func (t *Table) Receive(now time.Time, d *peerpb.Datagram) {
-	for _, told := range d.Ends {
-		id, known := content.FromBytes(told.Content)
-		scope, ok := parseScope(told.Scope)
-		if !known || !ok || told.Server == "" {
-			continue // not of this version of the daemon
+	for _, report := range d.Ends {
+		id, known := content.FromBytes(report.Content)
+		scope, ok := parseScope(report.Scope)
+		if !known || !ok || report.Server == "" {
+			continue // sent by another version of the daemon
 		}
-		end := End{Scope: scope, Service: told.Service, Server: told.Server, At: now.Add(-ageOf(told)), Host: d.From}
+		end := End{Scope: scope, Service: report.Service, Server: report.Server, At: now.Add(-ageOf(report)), Host: d.From}
 		if t.isEvidence(now, id, end) {
 			t.addCrash(now, t.suspect(now, id), end)
 		}
@@ -178,7 +178,7 @@
 	}
 }
 
-// parseIDs reads contents; what is none is not of this version of the daemon.
+// parseIDs decodes content IDs. It skips invalid ones, which come from another version of the daemon.
 func parseIDs(raw [][]byte) []content.ID {
 	var ids []content.ID
 	for _, one := range raw {
@@ -189,7 +189,7 @@
 	return ids
 }
 
-// Tick does what the time calls for.
+// Tick runs the decisions and resends that are due, and drops expired entries.
 func (t *Table) Tick(now time.Time) {
 	t.due.Reset()
 	for id, s := range t.suspects {
@@ -214,7 +214,7 @@
 	deleteBefore(t.liftedAt, now.Add(-liftRetryInterval))
 }
 
-// deleteBefore drops what is older.
+// deleteBefore deletes entries older than oldest.
 func deleteBefore(times map[content.ID]time.Time, oldest time.Time) {
 	for id, at := range times {
 		if at.Before(oldest) {
@@ -223,17 +223,17 @@
 	}
 }
 
-// Due is when Tick must be called at the latest, zero for never.
+// Due returns the latest time for the next call of Tick, zero if none is needed.
 func (t *Table) Due() time.Time { return t.due.Time() }
 
-// Messages returns what is to be sent, and forgets it.
+// Messages returns and clears the messages to send.
 func (t *Table) Messages() []Message {
 	out := t.messages
 	t.messages = nil
 	return out
 }
 
-// Decisions returns what all hosts must be told of, and forgets it.
+// Decisions returns and clears the decisions to send to all hosts.
 func (t *Table) Decisions() []Decision {
 	decisions := t.decisions
 	t.decisions = nil
--- a/internal/quarantine/trial.go
+++ b/internal/quarantine/trial.go
@@ -6,14 +6,15 @@
 	"github.com/pearshelf/pearshelf/internal/content"
 )
 
-// earlyTrialWindow is how long after a first hold began a content may be tried that some host remembers
-// an answer of, from before the ends: most likely it did nothing wrong. One that has begun to end
-// servers since ends one more.
+// earlyTrialWindow is how long after the start of a first hold a content may be tried if some host
+// remembers an answer to it from before the crashes. Such a content is most likely harmless. If it
+// has begun to crash servers since that answer, the trial costs one more server.
 const earlyTrialWindow = trialInterval
 
-// Trial reports whether this host may send a content, once, to see whether it still ends servers:
-// one whose hold is over, or which some host remembers an answer of. If not, it may have asked the
-// first home, which grants it within a round trip.
+// Trial reports whether this host may send a content once, to find out whether it still crashes
+// servers. A trial is allowed after the hold, or early if some host remembers an answer to the
+// content. If requested is set, the host has requested a trial from the content's first home,
+// which may grant it within a round trip.
 func (t *Table) Trial(now time.Time, q *Quarantine) (allowed, requested bool) {
 	id := q.Content
 	if until, granted := t.grantedUntil[id]; granted {
@@ -31,22 +32,23 @@
 		return false, false
 	}
 	t.trialRequestedAt[id] = now
-	ask := Message{To: first, Asks: [][]byte{id[:]}}
+	request := Message{To: first, Asks: [][]byte{id[:]}}
 	if t.answers.answeredRecently(now, id) {
-		ask.Answered = ask.Asks // what this host told before may be lost
+		request.Answered = request.Asks // an earlier report may have been lost
 	}
-	t.messages = append(t.messages, ask)
+	t.messages = append(t.messages, request)
 	return false, true
 }
 
-// allowsEarlyTrial reports whether a content may be tried before its hold is over.
+// allowsEarlyTrial reports whether the quarantine is young enough for a trial before the end of its
+// hold.
 func (q *Quarantine) allowsEarlyTrial(now time.Time) bool {
 	began := q.Until.Add(-q.Scope.holdDuration(q.Trials))
 	return q.Trials == 0 && now.Sub(began) < earlyTrialWindow
 }
 
-// grantTrial reports whether a content may be tried now, by one host: before the hold is over only if
-// a host remembers an answer.
+// grantTrial reports whether one host may try a content now, and notes the trial. Before the end of
+// the hold it is granted only if some host remembers an answer.
 func (t *Table) grantTrial(now time.Time, q *Quarantine) bool {
 	if now.Before(q.Until) && !(q.allowsEarlyTrial(now) && t.knownAnswered(now, q.Content)) {
 		return false
@@ -58,8 +60,9 @@
 	return true
 }
 
-// knownAnswered reports whether this host, or one that has told it, remembers an answer.
+// knownAnswered reports whether this host remembers an answer to a content, or another host has
+// reported one.
 func (t *Table) knownAnswered(now time.Time, id content.ID) bool {
-	_, told := t.answeredBefore[id]
-	return told || t.answers.answeredRecently(now, id)
+	_, reported := t.answeredBefore[id]
+	return reported || t.answers.answeredRecently(now, id)
 }
