--- a/internal/content/content_test.go
+++ b/internal/content/content_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestIDsTellContentsApart(t *testing.T) {
+func TestIDsDifferByContent(t *testing.T) {
 	base := Request{Method: "GET", Host: "a.example", Target: "/x?y=1", Customer: "acme", Credentials: []string{"k1"}, Body: []byte("b")}
 	others := map[string]Request{}
 	for name, change := range map[string]func(*Request){
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestIDsSurviveTheirText(t *testing.T) {
+func TestIDRoundTrip(t *testing.T) {
 	id := Of(Request{Target: "/x"})
 	back, err := Parse(id.String())
 	if err != nil || back != id {
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -11,10 +11,10 @@
 func BenchmarkCheck(b *testing.B) {
 	all := make([]*Quarantine, 100)
 	for i := range all {
-		all[i] = &Quarantine{Content: idOf(fmt.Sprint(i))}
+		all[i] = &Quarantine{Content: contentID(fmt.Sprint(i))}
 	}
 	view := NewView(all)
-	id := idOf("another")
+	id := contentID("another")
 	b.ReportAllocs()
 	for b.Loop() {
 		view.Get(id)
@@ -26,9 +26,9 @@
 	table := NewTable("h1")
 	now := time.Unix(1000, 0)
 	for i := range maxSuspects {
-		table.Ended(now, idOf(fmt.Sprint(i)), End{Server: "s1", At: now})
+		table.Ended(now, contentID(fmt.Sprint(i)), End{Server: "s1", At: now})
 	}
-	id := idOf("another")
+	id := contentID("another")
 	b.ReportAllocs()
 	for b.Loop() {
 		table.Served(now, id)
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -24,24 +24,24 @@
 	names   []string // of all that have ever run
 	version uint64
 	clock   uint64
-	// lose is the share of messages that are lost.
-	lose float64
-	rng  *rand.Rand
-	// decided counts the decisions that were told, sent the bytes of all messages between
+	// lossRate is the share of messages that are lost.
+	lossRate float64
+	rng      *rand.Rand
+	// decisions counts the decisions that were told, sent the bytes of all messages between
 	// hosts, and told those of decisions at one host.
-	decided int
-	sent    int
-	told    int
+	decisions     int
+	bytesSent     int
+	decisionBytes int
 }
 
 type host struct {
 	name  string
 	table *Table
 	store *register.Store
-	// side tells which hosts hear each other.
-	side int
-	// since is when it last started or last began to hear others.
-	since time.Time
+	// partition tells which hosts hear each other.
+	partition int
+	// connectedSince is when it last started or last began to hear others.
+	connectedSince time.Time
 }
 
 func newFleet(t *testing.T, n int) *fleet {
@@ -49,25 +49,25 @@
 	for i := range n {
 		f.start(fmt.Sprintf("h%03d", i))
 	}
-	f.settle()
+	f.syncHosts()
 	return f
 }
 
 // start adds a host that knows nothing, or replaces one.
 func (f *fleet) start(name string) {
-	f.hosts[name] = &host{name: name, table: NewTable(name), store: register.NewStore(), since: f.now}
+	f.hosts[name] = &host{name: name, table: NewTable(name), store: register.NewStore(), connectedSince: f.now}
 	if !slices.Contains(f.names, name) {
 		f.names = append(f.names, name)
 	}
 }
 
-// settle lets every host know which others it hears, and compare registers with them.
-func (f *fleet) settle() {
+// syncHosts lets every host know which others it hears, and compare registers with them.
+func (f *fleet) syncHosts() {
 	f.version++
 	for _, h := range f.hosts {
 		var homes []rendezvous.Node
 		for _, other := range f.hosts {
-			if other.side == h.side {
+			if other.partition == h.partition {
 				homes = append(homes, rendezvous.NewNode(other.name, ""))
 				for _, r := range other.store.All(f.now) {
 					h.store.Merge(f.now, r)
@@ -86,51 +86,51 @@
 		again = false
 		for _, h := range f.hosts {
 			for _, m := range h.table.Messages() {
-				f.sent += proto.Size(&peerpb.Datagram{From: h.name, Ends: m.Ends, Served: m.Served, TrialAsks: m.Asks, TrialGrants: m.Grants, AnsweredBefore: m.Answered})
+				f.bytesSent += proto.Size(&peerpb.Datagram{From: h.name, Ends: m.Ends, Served: m.Served, TrialAsks: m.Asks, TrialGrants: m.Grants, AnsweredBefore: m.Answered})
 				to, ok := f.hosts[m.To]
-				if !ok || to.side != h.side || f.rng.Float64() < f.lose {
+				if !ok || to.partition != h.partition || f.rng.Float64() < f.lossRate {
 					continue
 				}
 				to.table.Receive(f.now, &peerpb.Datagram{From: h.name, Ends: m.Ends, Served: m.Served, TrialAsks: m.Asks, TrialGrants: m.Grants, AnsweredBefore: m.Answered})
 				again = true
 			}
 			for _, d := range h.table.Decisions() {
-				f.tell(h, d)
+				f.announce(h, d)
 				again = true
 			}
 		}
 	}
 }
 
-// stamp is later than all before it.
-func (f *fleet) stamp() uint64 {
+// nextClock is later than all before it.
+func (f *fleet) nextClock() uint64 {
 	f.clock = max(f.clock+1, uint64(hlc.FromTime(f.now)))
 	return f.clock
 }
 
-func (f *fleet) tell(from *host, d Decision) {
+func (f *fleet) announce(from *host, d Decision) {
 	var r *peerpb.Register
 	if d.Quarantine == nil {
 		r = Lift(d.Cleared)
 	} else {
-		f.decided++
+		f.decisions++
 		var err error
 		if r, err = d.Quarantine.Register(f.now); err != nil {
 			f.t.Fatal(err)
 		}
 	}
-	f.told += proto.Size(r)
-	r.Stamp = &peerpb.Stamp{Clock: f.stamp(), Host: from.name}
+	f.decisionBytes += proto.Size(r)
+	r.Stamp = &peerpb.Stamp{Clock: f.nextClock(), Host: from.name}
 	for _, h := range f.hosts {
-		if h.side == from.side {
+		if h.partition == from.partition {
 			h.store.Merge(f.now, r)
 			h.table.SetView(f.now, ViewOf(h.store))
 		}
 	}
 }
 
-// pass lets time pass.
-func (f *fleet) pass(d time.Duration) {
+// advance lets time advance.
+func (f *fleet) advance(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(min(50*time.Millisecond, end.Sub(f.now)))
 		for _, h := range f.hosts {
@@ -140,18 +140,18 @@
 	}
 }
 
-func (f *fleet) ended(host string, id content.ID, server string) {
+func (f *fleet) serverCrashed(host string, id content.ID, server string) {
 	f.hosts[host].table.Ended(f.now, id, End{Service: "shop", Server: server, At: f.now})
 	f.deliver()
 }
 
-func (f *fleet) served(host string, id content.ID) {
+func (f *fleet) answered(host string, id content.ID) {
 	f.hosts[host].table.Served(f.now, id)
 	f.deliver()
 }
 
-// refusedBy counts the hosts that refuse a content.
-func (f *fleet) refusedBy(id content.ID) int {
+// refusingHosts counts the hosts that refuse a content.
+func (f *fleet) refusingHosts(id content.ID) int {
 	n := 0
 	for _, h := range f.hosts {
 		if q := h.table.view.Get(id); q != nil && f.now.Before(q.Until) {
@@ -161,9 +161,9 @@
 	return n
 }
 
-func idOf(name string) content.ID { return content.Of(content.Request{Target: name}) }
+func contentID(name string) content.ID { return content.Of(content.Request{Target: name}) }
 
-func (f *fleet) triedBy(id content.ID) []string {
+func (f *fleet) hostsAllowedTrial(id content.ID) []string {
 	var by []string
 	for _, h := range f.hosts {
 		if q := h.table.view.Get(id); q != nil {
@@ -175,4 +175,4 @@
 	return by
 }
 
-func (f *fleet) trials(id content.ID) int { return len(f.triedBy(id)) }
+func (f *fleet) trialCount(id content.ID) int { return len(f.hostsAllowedTrial(id)) }
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -10,85 +10,87 @@
 	"github.com/pearshelf/pearshelf/internal/content"
 )
 
-// load is a minute of a service of 12 servers behind 36 hosts: 30 reads a second that are
+// workload is a minute of a service of 12 servers behind 36 hosts: 30 reads a second that are
 // each their own, of 50 callers, and come again up to three times if they fail, and one
 // popular read ten times a second. A read takes 0.3 s and is sent to two servers at most.
-type load struct {
-	// endsEvery is the mean time from one server's own end to the next, 0 for none; a
+type workload struct {
+	// crashInterval is the mean time from one server's own end to the next, 0 for none; a
 	// server is back, as another process, after 3 s.
-	endsEvery time.Duration
-	// badPerSecond is how often the request comes that ends its servers after 80 ms.
-	badPerSecond float64
-	// disturb does to the hosts what happens at a time since the start, nil for nothing.
-	disturb func(f *fleet, at time.Duration)
+	crashInterval time.Duration
+	// crashingPerSecond is how often the request comes that ends its servers after 80 ms.
+	crashingPerSecond float64
+	// disrupt does to the hosts what happens at a time since the start, nil for nothing.
+	disrupt func(f *fleet, at time.Duration)
 }
 
 // outcome of a load.
 type outcome struct {
 	arrivals, refused int // of requests that do nothing wrong
-	badEnds           int // servers that the bad request has ended
-	// badSends are the sends of the bad request later than graceTime after it has ended
-	// the third server, by hosts that have run for that long, and early those before.
-	badSends, early int
+	crashes           int // servers that the bad request has ended
+	// lateSends are the sends of the bad request later than graceTime after it has ended
+	// the third server, by hosts that have run for that long, and earlySends those before.
+	lateSends, earlySends int
 }
 
-// graceTime is the users' bound (StableWindowS).
-const graceTime = 3 * time.Second
-
-type flight struct {
-	id     content.ID
-	caller content.ID
-	host   string
-	ends   time.Time // when it is answered, or ends its server if it is bad
-	bad    bool
-	sends  int
-	visits int
+// gracePeriod is the users' bound (StableWindowS).
+const gracePeriod = 3 * time.Second
+
+type inFlightRequest struct {
+	id       content.ID
+	caller   content.ID
+	host     string
+	doneAt   time.Time // when it is answered, or ends its server if it is bad
+	crashing bool
+	sends    int
+	attempts int
 }
 
 type simServer struct {
-	name    string
-	lives   int
-	upAt    time.Time
-	flights []flight
+	name        string
+	incarnation int
+	upAt        time.Time
+	inFlight    []inFlightRequest
 }
 
-func (s *simServer) id() string { return fmt.Sprintf("%s-%d", s.name, s.lives) }
+func (s *simServer) id() string { return fmt.Sprintf("%s-%d", s.name, s.incarnation) }
 
 type simulation struct {
-	f       *fleet
-	rng     *rand.Rand
-	servers []*simServer
-	out     outcome
-	unique  int
-	thirdAt time.Time
+	f            *fleet
+	rng          *rand.Rand
+	servers      []*simServer
+	out          outcome
+	reads        int
+	thirdCrashAt time.Time
 }
 
-func simulate(t *testing.T, l load, seed uint64) outcome {
+func simulate(t *testing.T, l workload, seed uint64) outcome {
 	s := &simulation{f: newFleet(t, 36), rng: rand.New(rand.NewPCG(seed, 7))}
 	for i := range 12 {
 		s.servers = append(s.servers, &simServer{name: fmt.Sprint("s", i)})
 	}
 	const step = 10 * time.Millisecond
 	for i := range int(time.Minute / step) {
-		s.f.pass(step)
-		if l.disturb != nil {
-			l.disturb(s.f, time.Duration(i)*step)
+		s.f.advance(step)
+		if l.disrupt != nil {
+			l.disrupt(s.f, time.Duration(i)*step)
 		}
-		s.answer()
-		s.arrive(30*step.Seconds(), func() flight {
-			s.unique++
-			return flight{id: idOf(fmt.Sprint("read", s.unique)), caller: idOf(fmt.Sprint("caller", s.rng.IntN(50)))}
+		s.completeRequests()
+		s.arrive(30*step.Seconds(), func() inFlightRequest {
+			s.reads++
+			return inFlightRequest{id: contentID(fmt.Sprint("read", s.reads)), caller: contentID(fmt.Sprint("caller", s.rng.IntN(50)))}
 		})
-		s.arrive(10*step.Seconds(), func() flight { return flight{id: idOf("popular"), caller: idOf("poller")} })
-		s.arrive(l.badPerSecond*step.Seconds(), func() flight { return flight{id: idOf("bad"), caller: idOf("bad caller"), bad: true} })
-		if l.endsEvery > 0 && s.rng.Float64() < step.Seconds()/l.endsEvery.Seconds() {
-			s.end(s.servers[s.rng.IntN(len(s.servers))])
+		s.arrive(10*step.Seconds(), func() inFlightRequest { return inFlightRequest{id: contentID("popular"), caller: contentID("poller")} })
+		s.arrive(l.crashingPerSecond*step.Seconds(), func() inFlightRequest {
+			return inFlightRequest{id: contentID("bad"), caller: contentID("bad caller"), crashing: true}
+		})
+		if l.crashInterval > 0 && s.rng.Float64() < step.Seconds()/l.crashInterval.Seconds() {
+			s.crash(s.servers[s.rng.IntN(len(s.servers))])
 		}
 	}
 	return s.out
 }
 
-func (s *simulation) arrive(chance float64, make func() flight) {
+func (s *simulation) arrive(chance float64, make func() inFlightRequest) {
 	if s.rng.Float64() >= chance {
 		return
 	}
@@ -96,21 +98,21 @@
 }
 
 // request lets a request come to any host.
-func (s *simulation) request(r flight) {
+func (s *simulation) request(r inFlightRequest) {
 	r.host = s.f.names[s.rng.IntN(len(s.f.names))]
 	if s.f.hosts[r.host] == nil {
 		return // it is down
 	}
 	r.sends = 0
-	r.visits++
-	if !r.bad {
+	r.attempts++
+	if !r.crashing {
 		s.out.arrivals++
 	}
 	s.send(r)
 }
 
 // send sends a request to any server that is up, unless its content is refused.
-func (s *simulation) send(r flight) {
+func (s *simulation) send(r inFlightRequest) {
 	table := s.f.hosts[r.host].table
 	for _, id := range (Subject{Content: r.id, Caller: r.caller}).IDs() {
 		q := table.view.Get(id)
@@ -127,70 +129,70 @@
 		return // no connection: it counts for nothing here
 	}
 	r.sends++
-	if r.bad && !s.thirdAt.IsZero() {
-		s.noteBadSend(r)
+	if r.crashing && !s.thirdCrashAt.IsZero() {
+		s.countCrashingSend(r)
 	}
-	r.ends = s.f.now.Add(300 * time.Millisecond)
-	if r.bad {
-		r.ends = s.f.now.Add(80 * time.Millisecond)
+	r.doneAt = s.f.now.Add(300 * time.Millisecond)
+	if r.crashing {
+		r.doneAt = s.f.now.Add(80 * time.Millisecond)
 	}
-	server.flights = append(server.flights, r)
+	server.inFlight = append(server.inFlight, r)
 }
 
-// noteBadSend counts a send of the bad request after it has ended the third server.
-func (s *simulation) noteBadSend(r flight) {
-	if s.f.now.Sub(s.thirdAt) > graceTime && s.f.now.Sub(s.f.hosts[r.host].since) > graceTime {
-		s.out.badSends++
+// countCrashingSend counts a send of the bad request after it has ended the third server.
+func (s *simulation) countCrashingSend(r inFlightRequest) {
+	if s.f.now.Sub(s.thirdCrashAt) > gracePeriod && s.f.now.Sub(s.f.hosts[r.host].connectedSince) > gracePeriod {
+		s.out.lateSends++
 	} else {
-		s.out.early++
+		s.out.earlySends++
 	}
 }
 
-func (s *simulation) refuse(r flight) {
-	if !r.bad {
+func (s *simulation) refuse(r inFlightRequest) {
+	if !r.crashing {
 		s.out.refused++
 	}
 }
 
-// answer ends what is done, or what ends its server.
-func (s *simulation) answer() {
+// completeRequests ends what is done, or what ends its server.
+func (s *simulation) completeRequests() {
 	for _, server := range s.servers {
-		for i := 0; i < len(server.flights); i++ {
-			r := server.flights[i]
-			if s.f.now.Before(r.ends) {
+		for i := 0; i < len(server.inFlight); i++ {
+			r := server.inFlight[i]
+			if s.f.now.Before(r.doneAt) {
 				continue
 			}
-			if r.bad {
-				s.out.badEnds++
-				if s.out.badEnds == 3 {
-					s.thirdAt = s.f.now
+			if r.crashing {
+				s.out.crashes++
+				if s.out.crashes == 3 {
+					s.thirdCrashAt = s.f.now
 				}
-				s.end(server)
+				s.crash(server)
 				break
 			}
-			server.flights = append(server.flights[:i], server.flights[i+1:]...)
+			server.inFlight = append(server.inFlight[:i], server.inFlight[i+1:]...)
 			i--
 			if s.f.hosts[r.host] != nil {
-				s.f.served(r.host, r.id)
-				s.f.served(r.host, r.caller)
+				s.f.answered(r.host, r.id)
+				s.f.answered(r.host, r.caller)
 			}
 		}
 	}
 }
 
-// end ends a server; what was there goes elsewhere, or comes again.
-func (s *simulation) end(server *simServer) {
+// crash ends a server; what was there goes elsewhere, or comes again.
+func (s *simulation) crash(server *simServer) {
 	if s.f.now.Before(server.upAt) {
 		return
 	}
-	lost := server.flights
+	lost := server.inFlight
 	id := server.id()
-	server.flights = nil
-	server.lives++
+	server.inFlight = nil
+	server.incarnation++
 	server.upAt = s.f.now.Add(3 * time.Second)
-	lost = slices.DeleteFunc(lost, func(r flight) bool { return s.f.hosts[r.host] == nil })
+	lost = slices.DeleteFunc(lost, func(r inFlightRequest) bool { return s.f.hosts[r.host] == nil })
 	for _, r := range lost {
-		s.f.ended(r.host, r.id, id)
+		s.f.serverCrashed(r.host, r.id, id)
 		s.f.hosts[r.host].table.Ended(s.f.now, r.caller, End{Scope: ScopeCaller, Service: "shop", Server: id, At: s.f.now})
 	}
 	s.f.deliver()
@@ -198,7 +200,7 @@
 		switch {
 		case r.sends < 2:
 			s.send(r)
-		case !r.bad && r.visits < 3:
+		case !r.crashing && r.attempts < 3:
 			s.request(r)
 		}
 	}
@@ -206,15 +208,15 @@
 
 // Requests that did nothing wrong are served: popular reads by the answers that clear them. The
 // bounds are for sums of four seeds.
-func TestRequestsThatDidNothingWrong(t *testing.T) {
+func TestHarmlessRequestsAreServed(t *testing.T) {
 	loads := []struct {
 		name string
-		load load
+		load workload
 	}{
-		{"calm", load{}},
-		{"servers end by themselves", load{endsEvery: 700 * time.Millisecond}},
-		{"a request ends servers", load{badPerSecond: 2.5}},
-		{"both", load{endsEvery: 700 * time.Millisecond, badPerSecond: 2.5}},
+		{"calm", workload{}},
+		{"servers end by themselves", workload{crashInterval: 700 * time.Millisecond}},
+		{"a request ends servers", workload{crashingPerSecond: 2.5}},
+		{"both", workload{crashInterval: 700 * time.Millisecond, crashingPerSecond: 2.5}},
 	}
 	const seeds = 4
 	for _, l := range loads {
@@ -223,15 +225,15 @@
 			o := simulate(t, l.load, seed)
 			sum.arrivals += o.arrivals
 			sum.refused += o.refused
-			sum.badEnds += o.badEnds
+			sum.crashes += o.crashes
 		}
-		t.Logf("%s: refused %d of %d, servers ended %d", l.name, sum.refused, sum.arrivals, sum.badEnds)
+		t.Logf("%s: refused %d of %d, servers ended %d", l.name, sum.refused, sum.arrivals, sum.crashes)
 		if sum.refused*2000 > sum.arrivals {
 			t.Errorf("%s: %d of %d refused that did nothing wrong", l.name, sum.refused, sum.arrivals)
 		}
 		// three, what is under way, and a trial in each minute
-		if sum.badEnds > seeds*7 {
-			t.Errorf("%s: %d servers ended", l.name, sum.badEnds)
+		if sum.crashes > seeds*7 {
+			t.Errorf("%s: %d servers ended", l.name, sum.crashes)
 		}
 	}
 }
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -13,25 +13,25 @@
 
 // A content that ended three servers, each seen by another host, is refused by all hosts,
 // also by one that starts only then.
-func TestThreeEndsAtThreeHosts(t *testing.T) {
+func TestThreeCrashesSeenByThreeHosts(t *testing.T) {
 	f := newFleet(t, 40)
-	bad := idOf("bad")
+	bad := contentID("bad")
 	for i := range 3 {
-		if n := f.refusedBy(bad); n != 0 {
+		if n := f.refusingHosts(bad); n != 0 {
 			t.Fatalf("%d hosts refuse it after %d ends", n, i)
 		}
-		f.ended(fmt.Sprintf("h%03d", 7*i), bad, fmt.Sprint("s", i))
+		f.serverCrashed(fmt.Sprintf("h%03d", 7*i), bad, fmt.Sprint("s", i))
 	}
-	f.pass(500 * time.Millisecond)
-	if n := f.refusedBy(bad); n != 40 {
+	f.advance(500 * time.Millisecond)
+	if n := f.refusingHosts(bad); n != 40 {
 		t.Errorf("%d of 40 hosts refuse it", n)
 	}
-	if f.decided != 1 {
-		t.Errorf("%d decisions were told to all hosts, one expected", f.decided)
+	if f.decisions != 1 {
+		t.Errorf("%d decisions were told to all hosts, one expected", f.decisions)
 	}
 	f.start("h999")
-	f.settle()
-	if n := f.refusedBy(bad); n != 41 {
+	f.syncHosts()
+	if n := f.refusingHosts(bad); n != 41 {
 		t.Errorf("%d of 41 hosts refuse it after a start", n)
 	}
 }
@@ -40,23 +40,23 @@
 func TestOneServerCountsOnce(t *testing.T) {
 	f := newFleet(t, 10)
 	for i := range 10 {
-		f.ended(fmt.Sprintf("h%03d", i), idOf("popular"), "s1")
+		f.serverCrashed(fmt.Sprintf("h%03d", i), contentID("popular"), "s1")
 	}
-	f.pass(time.Second)
-	if n := f.refusedBy(idOf("popular")); n != 0 {
+	f.advance(time.Second)
+	if n := f.refusingHosts(contentID("popular")); n != 0 {
 		t.Errorf("%d hosts refuse it", n)
 	}
 }
 
 // A service of one server: it starts again under its ID each time.
-func TestOneServerEndsAgainAndAgain(t *testing.T) {
+func TestOneServerCrashesRepeatedly(t *testing.T) {
 	f := newFleet(t, 10)
 	for i := range 3 {
-		f.ended(fmt.Sprintf("h%03d", i), idOf("bad"), "s1")
-		f.ended(fmt.Sprintf("h%03d", i+3), idOf("bad"), "s1") // another host's copy
-		f.pass(4 * time.Second)
+		f.serverCrashed(fmt.Sprintf("h%03d", i), contentID("bad"), "s1")
+		f.serverCrashed(fmt.Sprintf("h%03d", i+3), contentID("bad"), "s1") // another host's copy
+		f.advance(4 * time.Second)
 	}
-	if n := f.refusedBy(idOf("bad")); n != 10 {
+	if n := f.refusingHosts(contentID("bad")); n != 10 {
 		t.Errorf("%d of 10 hosts refuse it", n)
 	}
 }
@@ -68,12 +68,12 @@
 	for i := range contents {
 		f := newFleet(t, 12)
 		f.rng = rand.New(rand.NewPCG(uint64(i), 3))
-		f.lose = 0.5
+		f.lossRate = 0.5
 		for j := range 3 {
-			f.ended(fmt.Sprintf("h%03d", j), idOf("bad"), fmt.Sprint("s", j))
+			f.serverCrashed(fmt.Sprintf("h%03d", j), contentID("bad"), fmt.Sprint("s", j))
 		}
-		f.pass(time.Second)
-		if f.refusedBy(idOf("bad")) == 12 {
+		f.advance(time.Second)
+		if f.refusingHosts(contentID("bad")) == 12 {
 			found++
 		}
 	}
@@ -85,24 +85,24 @@
 }
 
 // Hosts that were cut off refuse the content as soon as they hear others again.
-func TestCutOffHostsHearOfIt(t *testing.T) {
+func TestPartitionedHostsLearnOfQuarantine(t *testing.T) {
 	f := newFleet(t, 12)
 	for i := range 4 {
-		f.hosts[fmt.Sprintf("h%03d", i)].side = 1
+		f.hosts[fmt.Sprintf("h%03d", i)].partition = 1
 	}
-	f.settle()
+	f.syncHosts()
 	for j := range 3 {
-		f.ended(fmt.Sprintf("h%03d", 4+j), idOf("bad"), fmt.Sprint("s", j))
+		f.serverCrashed(fmt.Sprintf("h%03d", 4+j), contentID("bad"), fmt.Sprint("s", j))
 	}
-	f.pass(time.Second)
-	if n := f.refusedBy(idOf("bad")); n != 8 {
+	f.advance(time.Second)
+	if n := f.refusingHosts(contentID("bad")); n != 8 {
 		t.Fatalf("%d of the 8 hosts refuse it that hear each other", n)
 	}
 	for _, h := range f.hosts {
-		h.side = 0
+		h.partition = 0
 	}
-	f.settle()
-	if n := f.refusedBy(idOf("bad")); n != 12 {
+	f.syncHosts()
+	if n := f.refusingHosts(contentID("bad")); n != 12 {
 		t.Errorf("%d of 12 hosts refuse it", n)
 	}
 }
@@ -110,7 +110,7 @@
 // The homes of a content are killed between its ends: those who saw them tell the new homes.
 func TestHomesAreKilled(t *testing.T) {
 	f := newFleet(t, 20)
-	bad := idOf("bad")
+	bad := contentID("bad")
 	homesNow := f.hosts["h000"].table.homesOf(bad)
 	var witnesses []string
 	for name := range f.hosts {
@@ -118,16 +118,16 @@
 			witnesses = append(witnesses, name)
 		}
 	}
-	f.ended(witnesses[0], bad, "s1")
-	f.ended(witnesses[1], bad, "s2")
-	f.pass(time.Second)
+	f.serverCrashed(witnesses[0], bad, "s1")
+	f.serverCrashed(witnesses[1], bad, "s2")
+	f.advance(time.Second)
 	for _, home := range homesNow {
 		delete(f.hosts, home)
 	}
-	f.settle()
-	f.ended(witnesses[2], bad, "s3")
-	f.pass(time.Second)
-	if n := f.refusedBy(bad); n != 17 {
+	f.syncHosts()
+	f.serverCrashed(witnesses[2], bad, "s3")
+	f.advance(time.Second)
+	if n := f.refusingHosts(bad); n != 17 {
 		t.Errorf("%d of 17 hosts refuse it", n)
 	}
 }
@@ -135,42 +135,42 @@
 // A whole answer clears a content, also while it is in quarantine.
 func TestAnswerClears(t *testing.T) {
 	f := newFleet(t, 10)
-	popular := idOf("popular")
-	f.ended("h001", popular, "s1")
-	f.ended("h002", popular, "s2")
-	f.pass(10 * time.Millisecond)
-	f.served("h001", popular)
-	f.pass(10 * time.Millisecond)
-	f.ended("h003", popular, "s3")
-	f.ended("h004", popular, "s4")
-	f.pass(time.Second)
-	if n := f.refusedBy(popular); n != 0 {
+	popular := contentID("popular")
+	f.serverCrashed("h001", popular, "s1")
+	f.serverCrashed("h002", popular, "s2")
+	f.advance(10 * time.Millisecond)
+	f.answered("h001", popular)
+	f.advance(10 * time.Millisecond)
+	f.serverCrashed("h003", popular, "s3")
+	f.serverCrashed("h004", popular, "s4")
+	f.advance(time.Second)
+	if n := f.refusingHosts(popular); n != 0 {
 		t.Fatalf("%d hosts refuse what was answered between its ends", n)
 	}
-	f.ended("h005", popular, "s5")
-	f.pass(time.Second)
-	if n := f.refusedBy(popular); n != 10 {
+	f.serverCrashed("h005", popular, "s5")
+	f.advance(time.Second)
+	if n := f.refusingHosts(popular); n != 10 {
 		t.Fatalf("%d of 10 hosts refuse it after three ends in a row", n)
 	}
-	f.served("h007", popular) // it was under way
-	f.pass(time.Second)
-	if n := f.refusedBy(popular); n != 0 {
+	f.answered("h007", popular) // it was under way
+	f.advance(time.Second)
+	if n := f.refusingHosts(popular); n != 0 {
 		t.Errorf("%d hosts refuse it after an answer", n)
 	}
 }
 
 // What was answered is told once, not with each answer: a popular read comes often.
-func TestClearedOnce(t *testing.T) {
+func TestAnswerIsReportedOnce(t *testing.T) {
 	f := newFleet(t, 10)
-	f.ended("h001", idOf("popular"), "s1")
-	f.pass(200 * time.Millisecond)
-	f.served("h001", idOf("popular"))
-	before := f.sent
+	f.serverCrashed("h001", contentID("popular"), "s1")
+	f.advance(200 * time.Millisecond)
+	f.answered("h001", contentID("popular"))
+	before := f.bytesSent
 	for range 100 {
-		f.served("h001", idOf("popular"))
+		f.answered("h001", contentID("popular"))
 	}
-	if f.sent != before {
-		t.Errorf("%d bytes sent for answers that clear nothing", f.sent-before)
+	if f.bytesSent != before {
+		t.Errorf("%d bytes sent for answers that clear nothing", f.bytesSent-before)
 	}
 	for _, h := range f.hosts {
 		if h.table.Watches() {
@@ -180,37 +180,37 @@
 }
 
 // After an operator has lifted a quarantine it takes as many ends as at first.
-func TestLiftForgets(t *testing.T) {
+func TestLiftDiscardsEvidence(t *testing.T) {
 	f := newFleet(t, 10)
-	bad := idOf("bad")
+	bad := contentID("bad")
 	for i := range 3 {
-		f.ended("h001", bad, fmt.Sprint("s", i))
-	}
-	f.pass(time.Second)
-	f.tell(f.hosts["h002"], Decision{Cleared: bad})
-	f.pass(time.Second)
-	f.ended("h003", bad, "s7")
-	f.ended("h004", bad, "s8")
-	f.pass(time.Second)
-	if n := f.refusedBy(bad); n != 0 {
+		f.serverCrashed("h001", bad, fmt.Sprint("s", i))
+	}
+	f.advance(time.Second)
+	f.announce(f.hosts["h002"], Decision{Cleared: bad})
+	f.advance(time.Second)
+	f.serverCrashed("h003", bad, "s7")
+	f.serverCrashed("h004", bad, "s8")
+	f.advance(time.Second)
+	if n := f.refusingHosts(bad); n != 0 {
 		t.Errorf("%d hosts refuse it after two ends", n)
 	}
-	f.ended("h005", bad, "s9")
-	f.pass(time.Second)
-	if n := f.refusedBy(bad); n != 10 {
+	f.serverCrashed("h005", bad, "s9")
+	f.advance(time.Second)
+	if n := f.refusingHosts(bad); n != 10 {
 		t.Errorf("%d of 10 hosts refuse it after three ends", n)
 	}
 }
 
 // A busy caller may be at many servers that end by themselves: what is kept is bounded.
-func TestEndsAreBounded(t *testing.T) {
+func TestCrashesAreBounded(t *testing.T) {
 	table := NewTable("h1")
 	now := time.Unix(1000, 0)
 	for i := range 1000 {
 		now = now.Add(time.Second / 10)
-		table.Ended(now, idOf("caller"), End{Scope: ScopeCaller, Server: fmt.Sprint("s", i), At: now})
+		table.Ended(now, contentID("caller"), End{Scope: ScopeCaller, Server: fmt.Sprint("s", i), At: now})
 	}
-	s := table.suspects[idOf("caller")]
+	s := table.suspects[contentID("caller")]
 	if len(s.crashes) > maxCrashes || len(s.observed) > maxCrashes {
 		t.Errorf("%d and %d ends are kept", len(s.crashes), len(s.observed))
 	}
@@ -220,30 +220,30 @@
 // hold is longer, if it is answered all hosts serve it.
 func TestTrials(t *testing.T) {
 	f := newFleet(t, 10)
-	bad := idOf("bad")
+	bad := contentID("bad")
 	for i := range 3 {
-		f.ended("h001", bad, fmt.Sprint("s", i))
+		f.serverCrashed("h001", bad, fmt.Sprint("s", i))
 	}
-	f.pass(initialHold - time.Second)
-	if n := f.trials(bad); n != 0 {
+	f.advance(initialHold - time.Second)
+	if n := f.trialCount(bad); n != 0 {
 		t.Fatalf("%d hosts may try it before the hold is over", n)
 	}
-	f.pass(2 * time.Second)
-	tried := f.triedBy(bad)
-	if len(tried) != 1 || f.trials(bad) != 0 {
-		t.Fatalf("tried by %v, and again by %d", tried, f.trials(bad))
+	f.advance(2 * time.Second)
+	tried := f.hostsAllowedTrial(bad)
+	if len(tried) != 1 || f.trialCount(bad) != 0 {
+		t.Fatalf("tried by %v, and again by %d", tried, f.trialCount(bad))
 	}
-	f.ended(tried[0], bad, "s7")
-	f.pass(initialHold + time.Second)
-	if n := f.refusedBy(bad); n != 10 {
+	f.serverCrashed(tried[0], bad, "s7")
+	f.advance(initialHold + time.Second)
+	if n := f.refusingHosts(bad); n != 10 {
 		t.Fatalf("%d of 10 hosts refuse it in the second hold", n)
 	}
-	f.pass(initialHold * holdFactor)
-	tried = f.triedBy(bad)
+	f.advance(initialHold * holdFactor)
+	tried = f.hostsAllowedTrial(bad)
 	if len(tried) != 1 {
 		t.Fatalf("tried by %v after the second hold", tried)
 	}
-	f.served(tried[0], bad)
+	f.answered(tried[0], bad)
 	for _, h := range f.hosts {
 		if h.table.view.Get(bad) != nil {
 			t.Errorf("%s refuses what was answered on trial", h.name)
@@ -254,11 +254,11 @@
 // A caller that always comes to one host gets its trial there, and no other host tries.
 func TestTrialAtAnyHost(t *testing.T) {
 	f := newFleet(t, 10)
-	bad := idOf("bad")
+	bad := contentID("bad")
 	for i := range 3 {
-		f.ended("h001", bad, fmt.Sprint("s", i))
+		f.serverCrashed("h001", bad, fmt.Sprint("s", i))
 	}
-	f.pass(initialHold + time.Second)
+	f.advance(initialHold + time.Second)
 	homesNow := f.hosts["h000"].table.homesOf(bad)
 	var at *host
 	for _, h := range f.hosts {
@@ -274,7 +274,7 @@
 	if tries, _ := at.table.Trial(f.now, q); !tries {
 		t.Fatal("no grant came")
 	}
-	if tried := f.triedBy(bad); len(tried) != 0 {
+	if tried := f.hostsAllowedTrial(bad); len(tried) != 0 {
 		t.Errorf("tried by %v beside it", tried)
 	}
 }
@@ -284,20 +284,20 @@
 	f := newFleet(t, 10)
 	for i := range 2 * callerThreshold {
 		host := f.hosts[fmt.Sprintf("h%03d", i%10)]
-		if n := f.refusedBy(idOf("caller")); i < callerThreshold && n > 0 || i == callerThreshold && n != 10 {
+		if n := f.refusingHosts(contentID("caller")); i < callerThreshold && n > 0 || i == callerThreshold && n != 10 {
 			t.Fatalf("%d of 10 hosts refuse the caller after %d ends", n, i)
 		}
 		if i >= callerThreshold {
-			f.pass(time.Second)
+			f.advance(time.Second)
 			continue
 		}
 		server := fmt.Sprint("s", i)
-		host.table.Ended(f.now, idOf(fmt.Sprint("request", i)), End{Server: server, At: f.now})
-		host.table.Ended(f.now, idOf("caller"), End{Scope: ScopeCaller, Server: server, At: f.now})
+		host.table.Ended(f.now, contentID(fmt.Sprint("request", i)), End{Server: server, At: f.now})
+		host.table.Ended(f.now, contentID("caller"), End{Scope: ScopeCaller, Server: server, At: f.now})
 		f.deliver()
-		f.pass(time.Second)
+		f.advance(time.Second)
 	}
-	if n := f.trials(idOf("caller")); n != 1 {
+	if n := f.trialCount(contentID("caller")); n != 1 {
 		t.Errorf("%d requests of the caller are tried once its hold is over", n)
 	}
 }
@@ -307,25 +307,25 @@
 	f := newFleet(t, 1)
 	for i := range 2 * maxSuspects {
 		for j := range 3 {
-			f.ended("h000", idOf(fmt.Sprint(i)), fmt.Sprintf("s%d-%d", i, j))
+			f.serverCrashed("h000", contentID(fmt.Sprint(i)), fmt.Sprintf("s%d-%d", i, j))
 		}
 	}
 	if n := len(f.hosts["h000"].table.suspects); n > maxSuspects {
 		t.Errorf("%d contents are kept", n)
 	}
-	if f.decided > maxDecisionsPerSecond {
-		t.Errorf("%d decisions in one moment", f.decided)
+	if f.decisions > maxDecisionsPerSecond {
+		t.Errorf("%d decisions in one moment", f.decisions)
 	}
-	f.pass(3 * time.Second)
-	if f.decided <= maxDecisionsPerSecond || f.decided > 4*maxDecisionsPerSecond {
-		t.Errorf("%d decisions after 3 s", f.decided)
+	f.advance(3 * time.Second)
+	if f.decisions <= maxDecisionsPerSecond || f.decisions > 4*maxDecisionsPerSecond {
+		t.Errorf("%d decisions after 3 s", f.decisions)
 	}
 }
 
 // A register that came from another host says the same there.
-func TestRegisterKeepsAQuarantine(t *testing.T) {
+func TestRegisterRoundTrip(t *testing.T) {
 	now := time.Unix(1000, 0)
-	q := &Quarantine{Content: idOf("bad"), Service: "shop", Until: now.Add(ScopeContent.holdDuration(2)), Trials: 2, Ends: []End{{Service: "shop", Server: "s1", At: now.Add(-time.Second), Host: "h1"}}}
+	q := &Quarantine{Content: contentID("bad"), Service: "shop", Until: now.Add(ScopeContent.holdDuration(2)), Trials: 2, Ends: []End{{Service: "shop", Server: "s1", At: now.Add(-time.Second), Host: "h1"}}}
 	r, err := q.Register(now)
 	if err != nil {
 		t.Fatal(err)
@@ -342,23 +342,23 @@
 // What hosts tell each other does not grow with their number, and nothing is told in calm.
 // With 100 contents at once 241 bytes are sent for each end among 36 hosts and 246 among
 // 1,100, and each host is told 10 KB of decisions.
-func TestBytesTold(t *testing.T) {
+func TestTrafficDoesNotGrowWithHosts(t *testing.T) {
 	const contents = 20
 	first := 0
 	for _, n := range []int{36, 113, 443} {
 		f := newFleet(t, n)
-		f.pass(time.Second)
-		if f.sent+f.told != 0 {
-			t.Errorf("%d hosts: %d bytes in calm", n, f.sent+f.told)
+		f.advance(time.Second)
+		if f.bytesSent+f.decisionBytes != 0 {
+			t.Errorf("%d hosts: %d bytes in calm", n, f.bytesSent+f.decisionBytes)
 		}
 		for i := range contents {
 			for j := range 3 {
-				f.ended(f.names[f.rng.IntN(n)], idOf(fmt.Sprint("bad", i)), fmt.Sprintf("s%d-%d", i, j))
+				f.serverCrashed(f.names[f.rng.IntN(n)], contentID(fmt.Sprint("bad", i)), fmt.Sprintf("s%d-%d", i, j))
 			}
 		}
-		f.pass(200 * time.Millisecond) // what is told again
-		perEnd := f.sent / (3 * contents)
-		t.Logf("%d hosts, %d contents at once: %d bytes sent for each end, %d bytes told to each host", n, contents, perEnd, f.told)
+		f.advance(200 * time.Millisecond) // what is told again
+		perEnd := f.bytesSent / (3 * contents)
+		t.Logf("%d hosts, %d contents at once: %d bytes sent for each end, %d bytes told to each host", n, contents, perEnd, f.decisionBytes)
 		if first == 0 {
 			first = perEnd
 		}
@@ -392,7 +392,7 @@
 // lifted content was refused again, 0.15 s later.
 func TestLateHomeDoesNotDecideAgain(t *testing.T) {
 	f := newFleet(t, 10)
-	bad := idOf("bad")
+	bad := contentID("bad")
 	second := f.hosts[f.hosts["h000"].table.homesOf(bad)[1]].table
 	for i := range 3 {
 		second.Receive(f.now, &peerpb.Datagram{From: "h9", Ends: []*peerpb.ServerEnd{{Content: bad[:], Server: fmt.Sprint("s", i)}}})
@@ -412,7 +412,7 @@
 // lifted, or another home's decision may arrive.
 func TestSupersededDecisions(t *testing.T) {
 	now := time.Unix(1000, 0)
-	bad := idOf("bad")
+	bad := contentID("bad")
 	decided := &Quarantine{Content: bad, Ends: []End{{Server: "s1", At: now}, {Server: "s2", At: now.Add(time.Second)}}}
 	lifted := func(at time.Time) *View {
 		store := register.NewStore()
@@ -430,7 +430,7 @@
 		"lifted after all ends":         {lifted(now.Add(2 * time.Second)), true},
 		"decided by another home":       {NewView([]*Quarantine{{Content: bad}}), true},
 		"a trial of another has failed": {NewView([]*Quarantine{{Content: bad, Trials: 1}}), true},
-		"another content in quarantine": {NewView([]*Quarantine{{Content: idOf("x")}}), false},
+		"another content in quarantine": {NewView([]*Quarantine{{Content: contentID("x")}}), false},
 	} {
 		if got := c.view.Supersedes(decided); got != c.want {
 			t.Errorf("%s: %t", name, got)
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -94,7 +94,7 @@
 mutant "told load is shared" internal/policy/report.go 's/if l.ToldLoad > 0 {/if false {/' ./internal/policy
 mutant "first report is a use" internal/policy/report.go 's/!known || next.requests/next.requests/' ./internal/policy
 mutant "contents are counted" internal/quarantine/quarantine.go 's/	contentThreshold = 3$/	contentThreshold = 300/' ./e2e -run TestRequestThatEndsServers
-mutant "an answer clears a content" internal/quarantine/suspect.go 's/^	delete(t.suspects, id)$//' ./internal/quarantine -run 'Nothing|AnswerClears'
+mutant "an answer clears a content" internal/quarantine/suspect.go 's/^	delete(t.suspects, id)$//' ./internal/quarantine -run 'HarmlessRequests|AnswerClears'
 mutant "an answer at any host clears" internal/quarantine/table.go 's/q.Trials == 0 \&\& t.answers.clears(q)/false/' ./internal/quarantine -run AnswerAtAnyHost
 mutant "answered before, tried early" internal/quarantine/trial.go 's/now.Sub(began) < earlyTrialWindow/now.Before(began)/' ./internal/quarantine -run AnsweredBefore
 mutant "never answered, not tried early" internal/quarantine/trial.go 's/ \&\& t.knownAnswered(now, q.Content)//' ./internal/quarantine -run WithoutAnswer
@@ -102,7 +102,7 @@
 mutant "one end counts once" internal/quarantine/suspect.go 's/if slices.ContainsFunc(s.crashes, end.sameCrash) {/if slices.ContainsFunc(s.crashes, end.sameCrash) \&\& false {/' ./internal/quarantine -run OneServerCountsOnce
 mutant "ends are told again" internal/quarantine/table.go 's/s.resendAt = now.Add(resendDelay)/s.resendAt = time.Time{}/' ./internal/quarantine -run LostMessages
 mutant "new homes are told" internal/quarantine/table.go 's/^		t.reportToNewHomes(now, s)$/		_ = s/' ./internal/quarantine -run HomesAreKilled
-mutant "one trial at a time" internal/quarantine/trial.go 's/tried \&\& now.Sub(began) < trialInterval/tried \&\& now.Before(began)/' ./internal/quarantine -run Trial
+mutant "one trial at a time" internal/quarantine/trial.go 's/tried \&\& now.Sub(began) < trialInterval/tried \&\& now.Before(began)/' ./internal/quarantine -run TestTrial
 mutant "a lift forgets" internal/quarantine/decide.go 's/^	t.dropLifted(s)$//' ./internal/quarantine -run 'Lift|LateHome'
 mutant "leaving servers are no evidence" internal/dispatch/ended.go 's/return x.inRotation(lease.Server) \&\& /return /' ./e2e -ginkgo.focus "after it was drained"
 mutant "a host that stood still is no witness" internal/dispatch/ended.go 's/x.d.snapshot().Fresh(time.Now(), boottime.Suspended())/(x.d.snapshot().Fresh(time.Now(), boottime.Suspended()) || true)/' ./e2e -ginkgo.focus "stood still"
