--- a/internal/content/content_test.go
+++ b/internal/content/content_test.go
@@ -26,11 +26,11 @@
 	again := base
 	again.Body = []byte(string(base.Body))
 	if Of(base) != Of(again) {
-		t.Error("the same content has two IDs")
+		t.Error("equal requests have different IDs")
 	}
 	for name, r := range others {
 		if Of(r) == Of(base) {
-			t.Errorf("another %s, the same ID", name)
+			t.Errorf("requests that differ by %s have the same ID", name)
 		}
 	}
 }
@@ -39,14 +39,14 @@
 	id := Of(Request{Target: "/x"})
 	back, err := Parse(id.String())
 	if err != nil || back != id {
-		t.Errorf("%v, %v", back, err)
+		t.Errorf("Parse: %v, %v", back, err)
 	}
 	if again, ok := FromBytes(id[:]); !ok || again != id {
-		t.Error("bytes do not survive")
+		t.Error("FromBytes does not return the original ID")
 	}
 	for _, bad := range []string{"", "x", id.String() + "a", strings.Repeat("!", 32)} {
 		if _, err := Parse(bad); err == nil {
-			t.Errorf("%q was read", bad)
+			t.Errorf("Parse(%q) succeeded, want an error", bad)
 		}
 	}
 }
--- a/internal/quarantine/answers_test.go
+++ b/internal/quarantine/answers_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// crashThree lets three servers end under a content, each seen by another host.
+// crashThree crashes three servers that run a content, each observed by a different host.
 func crashThree(f *fleet, name string) {
 	for i := range 3 {
 		f.serverCrashed(fmt.Sprintf("h%03d", i), contentID(name), fmt.Sprint("s", i))
@@ -15,7 +15,7 @@
 	}
 }
 
-// uninvolvedHost is one that is neither a home of a content nor one of those that saw it end servers.
+// uninvolvedHost returns a host that is neither a home of a content nor observed its crashes.
 func uninvolvedHost(f *fleet, name string) string {
 	homes := f.hosts["h000"].table.homesOf(contentID(name))
 	for i := 3; ; i++ {
@@ -26,8 +26,8 @@
 	}
 }
 
-// Three servers end while they have a content, and in between another host, which has not seen
-// any of them end, passes on an answer to it. The content does not end servers.
+// Three servers crash while they run a content. In between, a host that has observed none of the
+// crashes passes on an answer to it. The answer shows that the content is harmless.
 func TestAnswerAtAnyHostClears(t *testing.T) {
 	f := newFleet(t, 20)
 	good := contentID("good")
@@ -40,12 +40,12 @@
 	f.serverCrashed("h002", good, "s2")
 	f.advance(time.Second)
 	if n := f.refusingHosts(good); n > 0 {
-		t.Errorf("%d hosts refuse a content that was answered after the first of three ends", n)
+		t.Errorf("%d hosts refuse a content that was answered after the first of three crashes", n)
 	}
 }
 
-// An answer from before the ends does not clear a content: it may have begun to end servers since.
-// One host tries it once, at once; an answer then clears it.
+// An answer from before the crashes does not clear a content, which may have begun to crash servers
+// since. One host is granted a single trial at once, and an answer to it clears the content.
 func TestContentAnsweredBeforeGetsEarlyTrial(t *testing.T) {
 	f := newFleet(t, 20)
 	good := contentID("good")
@@ -54,38 +54,38 @@
 	f.advance(time.Second)
 	crashThree(f, "good")
 	if n := f.refusingHosts(good); n != len(f.hosts) {
-		t.Fatalf("%d of %d hosts refuse it", n, len(f.hosts))
+		t.Fatalf("%d of %d hosts refuse the content", n, len(f.hosts))
 	}
 	tried := 0
-	for range 3 { // asks, is granted it, and no more
+	for range 3 { // requests a trial, uses it, gets no further one
 		tried += len(f.hostsAllowedTrial(good))
 		f.deliver()
 		f.advance(time.Second)
 	}
 	if tried != 1 {
-		t.Fatalf("tried %d times within its hold", tried)
+		t.Fatalf("%d trials during the hold, want 1", tried)
 	}
 	f.answered(other, good)
 	f.advance(time.Second)
 	if n := f.refusingHosts(good); n > 0 {
-		t.Errorf("%d hosts refuse it after it was answered", n)
+		t.Errorf("%d hosts refuse the content after it was answered", n)
 	}
 }
 
-// A content that was never answered is not tried within its hold.
+// A content that was never answered gets no trial during its hold.
 func TestContentWithoutAnswerGetsNoEarlyTrial(t *testing.T) {
 	f := newFleet(t, 20)
 	crashThree(f, "bad")
 	for range 20 {
 		f.advance(time.Second)
 		if by := f.hostsAllowedTrial(contentID("bad")); len(by) > 0 {
-			t.Fatalf("tried by %v", by)
+			t.Fatalf("trial allowed at %v", by)
 		}
 		f.deliver()
 	}
 }
 
-// What is remembered of answers is bounded in number, and forgotten.
+// The answer history is bounded in size, and its entries expire.
 func TestAnswersAreBounded(t *testing.T) {
 	a := newAnswerHistory()
 	now := time.Unix(1000, 0)
@@ -93,22 +93,22 @@
 		a.record(now, contentID(fmt.Sprint(i)))
 	}
 	if n := len(a.current) + len(a.previous); n > 2*maxAnswersPerGeneration {
-		t.Errorf("%d contents remembered", n)
+		t.Errorf("%d contents in the answer history", n)
 	}
 	kept := contentID("kept")
 	a.record(now, kept)
 	for _, step := range []time.Duration{answerRetention / 2, answerRetention} {
 		a.record(now.Add(step), contentID("other"))
 		if !a.answeredRecently(now.Add(step), kept) {
-			t.Errorf("forgotten after %s", step)
+			t.Errorf("answer forgotten after %s", step)
 		}
 	}
 	if a.answeredRecently(now.Add(2*answerRetention+time.Second), kept) {
-		t.Error("remembered for ever by a host that answers nothing more")
+		t.Error("answer does not expire on a host that passes on no further answers")
 	}
 	a.record(now.Add(2*answerRetention), contentID("other"))
 	a.record(now.Add(3*answerRetention+time.Second), contentID("other"))
 	if !a.lastAnswer(kept).IsZero() {
-		t.Error("held for ever")
+		t.Error("answer is not dropped by rotation")
 	}
 }
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkCheck is what each request costs while contents are in quarantine, beside the
-// digest (package content).
+// BenchmarkCheck measures the cost per request while contents are in quarantine, without the
+// digest (see package content).
 func BenchmarkCheck(b *testing.B) {
 	all := make([]*Quarantine, 100)
 	for i := range all {
@@ -21,7 +21,7 @@
 	}
 }
 
-// BenchmarkServed is what each answer costs a host that has evidence of 4,096 contents.
+// BenchmarkServed measures the cost per answer on a host that holds evidence against 4,096 contents.
 func BenchmarkServed(b *testing.B) {
 	table := NewTable("h1")
 	now := time.Unix(1000, 0)
--- a/internal/quarantine/churn_test.go
+++ b/internal/quarantine/churn_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// at returns a disturbance that does something at one time.
+// at returns a disruption that happens once, at the given time.
 func at(when time.Duration, do func(f *fleet)) func(f *fleet, at time.Duration) {
 	return func(f *fleet, at time.Duration) {
 		if at == when {
@@ -15,6 +15,7 @@
 	}
 }
 
+// both combines two disruptions.
 func both(a, b func(f *fleet, at time.Duration)) func(f *fleet, at time.Duration) {
 	return func(f *fleet, at time.Duration) {
 		a(f, at)
@@ -22,7 +23,7 @@
 	}
 }
 
-// forShare calls do for the hosts whose place in the list is below a share of it.
+// forShare calls do for the first hosts of the list, up to a share of it.
 func forShare(f *fleet, share float64, do func(name string)) {
 	for _, name := range f.names[:int(share*float64(len(f.names)))] {
 		do(name)
@@ -30,15 +31,17 @@
 	f.syncHosts()
 }
 
+// kill stops a share of the hosts.
 func kill(share float64) func(f *fleet) {
 	return func(f *fleet) { forShare(f, share, func(name string) { delete(f.hosts, name) }) }
 }
 
+// restart starts a share of the hosts with empty state.
 func restart(share float64) func(f *fleet) {
 	return func(f *fleet) { forShare(f, share, f.start) }
 }
 
-// partition puts hosts on a side of their own, or back.
+// partition moves a share of the hosts to another network partition, or back.
 func partition(share float64, side int) func(f *fleet) {
 	return func(f *fleet) {
 		forShare(f, share, func(name string) {
@@ -48,9 +51,9 @@
 	}
 }
 
-// The same request comes at any host while hosts are killed, started, cut off and added.
-// The users allow three sends by hosts that are in touch, later than 3 s after it has ended
-// the third server.
+// A crashing request arrives at random hosts while hosts are killed, restarted, partitioned and
+// added. From 3 s after its third crash on, the requirement allows at most three more sends by
+// connected hosts.
 func TestCrashingRequestDuringHostChurn(t *testing.T) {
 	const second = time.Second
 	for _, c := range []struct {
@@ -58,10 +61,10 @@
 		disrupt func(f *fleet, at time.Duration)
 	}{
 		{"calm", nil},
-		{"half killed as it begins, back after 2 s", both(at(second, kill(0.5)), at(3*second, restart(0.5)))},
+		{"half killed at the start, back after 2 s", both(at(second, kill(0.5)), at(3*second, restart(0.5)))},
 		{"half killed later, back after 2 s", both(at(10*second, kill(0.5)), at(12*second, restart(0.5)))},
 		{"half killed for good", at(10*second, kill(0.5))},
-		{"all started again, one after the other", func(f *fleet, at time.Duration) {
+		{"rolling restart of all hosts", func(f *fleet, at time.Duration) {
 			if at >= 5*second && at%(200*time.Millisecond) == 0 {
 				if i := int((at - 5*second) / (200 * time.Millisecond)); i < len(f.names) {
 					f.start(f.names[i])
@@ -69,9 +72,9 @@
 				}
 			}
 		}},
-		{"all started again at once", both(at(10*second, kill(1)), at(11*second, restart(1)))},
-		{"a third cut off as it begins, for 12 s", both(at(0, partition(0.33, 1)), at(12*second, partition(0.33, 0)))},
-		{"a third cut off later, for 12 s", both(at(10*second, partition(0.33, 1)), at(22*second, partition(0.33, 0)))},
+		{"all restarted at once", both(at(10*second, kill(1)), at(11*second, restart(1)))},
+		{"a third partitioned at the start, for 12 s", both(at(0, partition(0.33, 1)), at(12*second, partition(0.33, 0)))},
+		{"a third partitioned later, for 12 s", both(at(10*second, partition(0.33, 1)), at(22*second, partition(0.33, 0)))},
 		{"twice as many hosts", at(10*second, func(f *fleet) {
 			for i := range 36 {
 				f.start(fmt.Sprintf("n%03d", i))
@@ -86,9 +89,9 @@
 				late = max(late, o.lateSends)
 				early = max(early, o.earlySends)
 			}
-			t.Logf("%s, %g a second: %d sends late, %d before", c.name, rate, late, early)
+			t.Logf("%s, %g requests/s: %d sends after the grace period, %d before", c.name, rate, late, early)
 			if late > 3 {
-				t.Errorf("%s, %g a second: %d sends later than the users allow", c.name, rate, late)
+				t.Errorf("%s, %g requests/s: %d sends after the grace period, want at most 3", c.name, rate, late)
 			}
 		}
 	}
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -16,19 +16,19 @@
 	"github.com/pearshelf/pearshelf/internal/rendezvous"
 )
 
-// fleet is hosts with their tables, and registers that reach each host that hears.
+// fleet simulates hosts with their tables, and registers that are replicated within a partition.
 type fleet struct {
 	t       *testing.T
 	now     time.Time
 	hosts   map[string]*host
-	names   []string // of all that have ever run
+	names   []string // of all hosts ever started
 	version uint64
 	clock   uint64
-	// lossRate is the share of messages that are lost.
+	// lossRate is the share of messages between hosts that are lost.
 	lossRate float64
 	rng      *rand.Rand
-	// decisions counts the decisions that were told, sent the bytes of all messages between
-	// hosts, and told those of decisions at one host.
+	// decisions counts the announced quarantines, bytesSent the bytes of all messages between
+	// hosts, and decisionBytes the bytes of announced decisions that each host receives.
 	decisions     int
 	bytesSent     int
 	decisionBytes int
@@ -38,9 +38,9 @@
 	name  string
 	table *Table
 	store *register.Store
-	// partition tells which hosts hear each other.
+	// partition is the network partition; hosts of the same one can communicate.
 	partition int
-	// connectedSince is when it last started or last began to hear others.
+	// connectedSince is when the host last started or last changed its partition.
 	connectedSince time.Time
 }
 
@@ -53,7 +53,7 @@
 	return f
 }
 
-// start adds a host that knows nothing, or replaces one.
+// start adds a host with empty state, or replaces one.
 func (f *fleet) start(name string) {
 	f.hosts[name] = &host{name: name, table: NewTable(name), store: register.NewStore(), connectedSince: f.now}
 	if !slices.Contains(f.names, name) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// syncHosts lets every host know which others it hears, and compare registers with them.
+// syncHosts updates each host's live hosts and merges the registers of its partition.
 func (f *fleet) syncHosts() {
 	f.version++
 	for _, h := range f.hosts {
@@ -80,7 +80,7 @@
 	f.deliver()
 }
 
-// deliver carries what tables have to tell until there is nothing more.
+// deliver carries messages and decisions between hosts until none is left.
 func (f *fleet) deliver() {
 	for again := true; again; {
 		again = false
@@ -102,12 +102,13 @@
 	}
 }
 
-// nextClock is later than all before it.
+// nextClock returns a stamp that is later than all previous ones.
 func (f *fleet) nextClock() uint64 {
 	f.clock = max(f.clock+1, uint64(hlc.FromTime(f.now)))
 	return f.clock
 }
 
+// announce writes a decision to the registers of all hosts in the sender's partition.
 func (f *fleet) announce(from *host, d Decision) {
 	var r *peerpb.Register
 	if d.Quarantine == nil {
@@ -129,7 +130,7 @@
 	}
 }
 
-// advance lets time advance.
+// advance moves the clock forward in steps, with a tick at each.
 func (f *fleet) advance(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(min(50*time.Millisecond, end.Sub(f.now)))
@@ -140,17 +141,19 @@
 	}
 }
 
+// serverCrashed lets a host observe the crash of a server that ran a content.
 func (f *fleet) serverCrashed(host string, id content.ID, server string) {
 	f.hosts[host].table.Ended(f.now, id, End{Service: "shop", Server: server, At: f.now})
 	f.deliver()
 }
 
+// answered lets a host pass on a complete answer to a content.
 func (f *fleet) answered(host string, id content.ID) {
 	f.hosts[host].table.Served(f.now, id)
 	f.deliver()
 }
 
-// refusingHosts counts the hosts that refuse a content.
+// refusingHosts returns the number of hosts that refuse a content.
 func (f *fleet) refusingHosts(id content.ID) int {
 	n := 0
 	for _, h := range f.hosts {
@@ -163,16 +166,17 @@
 
 func contentID(name string) content.ID { return content.Of(content.Request{Target: name}) }
 
+// hostsAllowedTrial lets each host request a trial, and returns those that are allowed one.
 func (f *fleet) hostsAllowedTrial(id content.ID) []string {
-	var by []string
+	var allowed []string
 	for _, h := range f.hosts {
 		if q := h.table.view.Get(id); q != nil {
-			if tries, _ := h.table.Trial(f.now, q); tries {
-				by = append(by, h.name)
+			if ok, _ := h.table.Trial(f.now, q); ok {
+				allowed = append(allowed, h.name)
 			}
 		}
 	}
-	return by
+	return allowed
 }
 
 func (f *fleet) trialCount(id content.ID) int { return len(f.hostsAllowedTrial(id)) }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -161,7 +161,7 @@
 }
 
 // covers reports whether a crash is already part of the evidence for the quarantine.
-func (q *Quarantine) covers(end End) bool { return slices.ContainsFunc(q.Ends, end.sameCrash) }
+func (q *Quarantine) covers(crash End) bool { return slices.ContainsFunc(q.Ends, crash.sameCrash) }
 
 // holdDuration returns the length of a hold after a number of failed trials.
 func (s Scope) holdDuration(trials int) time.Duration {
@@ -205,12 +205,12 @@
 
 // isEvidence reports whether a crash is evidence against a content: it must be later than the
 // last time that an answer or an operator lifted the content's quarantine.
-func (v *View) isEvidence(id content.ID, end End) bool {
+func (v *View) isEvidence(id content.ID, crash End) bool {
 	if v == nil {
 		return true
 	}
 	lifted, known := v.liftedAt[id]
-	return !known || end.At.After(lifted)
+	return !known || crash.At.After(lifted)
 }
 
 // Supersedes reports whether a decision is out of date: another home has already made it, or
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -10,41 +10,45 @@
 	"github.com/pearshelf/pearshelf/internal/content"
 )
 
-// workload is a minute of a service of 12 servers behind 36 hosts: 30 reads a second that are
-// each their own, of 50 callers, and come again up to three times if they fail, and one
-// popular read ten times a second. A read takes 0.3 s and is sent to two servers at most.
+// workload describes one minute of traffic to a service of 12 servers behind 36 hosts: 30 distinct
+// reads per second from 50 callers, and one popular read ten times per second. A caller sends a
+// failed read up to three times. A read takes 0.3 s and is sent to at most two servers.
 type workload struct {
-	// crashInterval is the mean time from one server's own end to the next, 0 for none; a
-	// server is back, as another process, after 3 s.
+	// crashInterval is the mean time between crashes that no request causes, 0 for none. A
+	// crashed server is back as a new process after 3 s.
 	crashInterval time.Duration
-	// crashingPerSecond is how often the request comes that ends its servers after 80 ms.
+	// crashingPerSecond is the rate of the request that crashes its servers after 80 ms.
 	crashingPerSecond float64
-	// disrupt does to the hosts what happens at a time since the start, nil for nothing.
+	// disrupt is called with the time since the start and applies disruptions to the hosts; nil
+	// for none.
 	disrupt func(f *fleet, at time.Duration)
 }
 
-// outcome of a load.
+// outcome is the result of a simulated workload.
 type outcome struct {
-	arrivals, refused int // of requests that do nothing wrong
-	crashes           int // servers that the bad request has ended
-	// lateSends are the sends of the bad request later than graceTime after it has ended
-	// the third server, by hosts that have run for that long, and earlySends those before.
+	arrivals, refused int // harmless requests
+	crashes           int // servers crashed by the crashing request
+	// lateSends counts the sends of the crashing request more than gracePeriod after its third
+	// crash, by hosts that have been connected for that long. earlySends counts all others
+	// after the third crash.
 	lateSends, earlySends int
 }
 
-// gracePeriod is the users' bound (StableWindowS).
+// gracePeriod is the required bound (StableWindowS).
 const gracePeriod = 3 * time.Second
 
+// inFlightRequest is a request that is being sent or is running at a server.
 type inFlightRequest struct {
 	id       content.ID
 	caller   content.ID
 	host     string
-	doneAt   time.Time // when it is answered, or ends its server if it is bad
+	doneAt   time.Time // when it is answered, or crashes its server if crashing
 	crashing bool
 	sends    int
 	attempts int
 }
 
+// simServer is a simulated server; each restart is a new incarnation.
 type simServer struct {
 	name        string
 	incarnation int
@@ -63,6 +67,7 @@
 	thirdCrashAt time.Time
 }
 
+// simulate runs a workload and returns its outcome.
 func simulate(t *testing.T, l workload, seed uint64) outcome {
 	s := &simulation{f: newFleet(t, 36), rng: rand.New(rand.NewPCG(seed, 7))}
 	for i := range 12 {
@@ -90,6 +95,7 @@
 	return s.out
 }
 
+// arrive lets a request arrive with the given probability.
 func (s *simulation) arrive(chance float64, make func() inFlightRequest) {
 	if s.rng.Float64() >= chance {
 		return
@@ -97,11 +103,11 @@
 	s.request(make())
 }
 
-// request lets a request come to any host.
+// request delivers a request to a random host.
 func (s *simulation) request(r inFlightRequest) {
 	r.host = s.f.names[s.rng.IntN(len(s.f.names))]
 	if s.f.hosts[r.host] == nil {
-		return // it is down
+		return // the host is down
 	}
 	r.sends = 0
 	r.attempts++
@@ -111,7 +117,7 @@
 	s.send(r)
 }
 
-// send sends a request to any server that is up, unless its content is refused.
+// send sends a request to a random server, unless the host refuses its content.
 func (s *simulation) send(r inFlightRequest) {
 	table := s.f.hosts[r.host].table
 	for _, id := range (Subject{Content: r.id, Caller: r.caller}).IDs() {
@@ -119,14 +125,14 @@
 		if q == nil {
 			continue
 		}
-		if tries, _ := table.Trial(s.f.now, q); !tries {
+		if allowed, _ := table.Trial(s.f.now, q); !allowed {
 			s.refuse(r)
 			return
 		}
 	}
 	server := s.servers[s.rng.IntN(len(s.servers))]
 	if s.f.now.Before(server.upAt) {
-		return // no connection: it counts for nothing here
+		return // no connection: not counted
 	}
 	r.sends++
 	if r.crashing && !s.thirdCrashAt.IsZero() {
@@ -139,7 +145,7 @@
 	server.inFlight = append(server.inFlight, r)
 }
 
-// countCrashingSend counts a send of the bad request after it has ended the third server.
+// countCrashingSend counts a send of the crashing request after its third crash.
 func (s *simulation) countCrashingSend(r inFlightRequest) {
 	if s.f.now.Sub(s.thirdCrashAt) > gracePeriod && s.f.now.Sub(s.f.hosts[r.host].connectedSince) > gracePeriod {
 		s.out.lateSends++
@@ -148,13 +154,14 @@
 	}
 }
 
+// refuse counts a refused request, if it is harmless.
 func (s *simulation) refuse(r inFlightRequest) {
 	if !r.crashing {
 		s.out.refused++
 	}
 }
 
-// completeRequests ends what is done, or what ends its server.
+// completeRequests answers the requests that are done, or crashes their servers.
 func (s *simulation) completeRequests() {
 	for _, server := range s.servers {
 		for i := 0; i < len(server.inFlight); i++ {
@@ -180,7 +187,7 @@
 	}
 }
 
-// crash ends a server; what was there goes elsewhere, or comes again.
+// crash crashes a server. Its requests are resent to another server, or sent again by the caller.
 func (s *simulation) crash(server *simServer) {
 	if s.f.now.Before(server.upAt) {
 		return
@@ -206,16 +213,16 @@
 	}
 }
 
-// Requests that did nothing wrong are served: popular reads by the answers that clear them. The
-// bounds are for sums of four seeds.
+// Harmless requests are served although servers crash; popular reads are cleared by their answers.
+// The bounds apply to the sum of four seeds.
 func TestHarmlessRequestsAreServed(t *testing.T) {
 	loads := []struct {
 		name string
 		load workload
 	}{
 		{"calm", workload{}},
-		{"servers end by themselves", workload{crashInterval: 700 * time.Millisecond}},
-		{"a request ends servers", workload{crashingPerSecond: 2.5}},
+		{"unrelated server crashes", workload{crashInterval: 700 * time.Millisecond}},
+		{"a crashing request", workload{crashingPerSecond: 2.5}},
 		{"both", workload{crashInterval: 700 * time.Millisecond, crashingPerSecond: 2.5}},
 	}
 	const seeds = 4
@@ -227,13 +234,13 @@
 			sum.refused += o.refused
 			sum.crashes += o.crashes
 		}
-		t.Logf("%s: refused %d of %d, servers ended %d", l.name, sum.refused, sum.arrivals, sum.crashes)
+		t.Logf("%s: refused %d of %d harmless requests, %d servers crashed", l.name, sum.refused, sum.arrivals, sum.crashes)
 		if sum.refused*2000 > sum.arrivals {
-			t.Errorf("%s: %d of %d refused that did nothing wrong", l.name, sum.refused, sum.arrivals)
+			t.Errorf("%s: refused %d of %d harmless requests, want at most 1 in 2000", l.name, sum.refused, sum.arrivals)
 		}
-		// three, what is under way, and a trial in each minute
+		// three crashes, requests in progress, and the trials of one minute
 		if sum.crashes > seeds*7 {
-			t.Errorf("%s: %d servers ended", l.name, sum.crashes)
+			t.Errorf("%s: the crashing request crashed %d servers", l.name, sum.crashes)
 		}
 	}
 }
--- a/internal/quarantine/suspect.go
+++ b/internal/quarantine/suspect.go
@@ -51,22 +51,22 @@
 
 // isEvidence reports whether a crash is still evidence against a content: it has not expired, and
 // the content has not been answered since.
-func (t *Table) isEvidence(now time.Time, id content.ID, end End) bool {
+func (t *Table) isEvidence(now time.Time, id content.ID, crash End) bool {
 	cleared, known := t.clearedAt[id]
-	return now.Sub(end.At) <= evidenceTTL && (!known || end.At.After(cleared))
+	return now.Sub(crash.At) <= evidenceTTL && (!known || crash.At.After(cleared))
 }
 
 // addCrash records a server's crash. Reports of the same crash by several hosts count once.
-func (t *Table) addCrash(now time.Time, s *suspect, end End) {
-	if slices.ContainsFunc(s.crashes, end.sameCrash) {
+func (t *Table) addCrash(now time.Time, s *suspect, crash End) {
+	if slices.ContainsFunc(s.crashes, crash.sameCrash) {
 		return
 	}
-	s.crashes = newestCrashes(append(s.crashes, end))
+	s.crashes = newestCrashes(append(s.crashes, crash))
 	t.scheduleDecision(now, s)
 }
 
 // newestCrashes returns the last maxCrashes elements.
-func newestCrashes(ends []End) []End { return ends[max(len(ends)-maxCrashes, 0):] }
+func newestCrashes(crashes []End) []End { return crashes[max(len(crashes)-maxCrashes, 0):] }
 
 // clear drops the evidence against a content that was answered, and lifts its quarantine.
 func (t *Table) clear(now time.Time, id content.ID) {
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -120,14 +120,14 @@
 func (t *Table) Watches() bool { return len(t.suspects) > 0 }
 
 // Ended records a crash that this host has observed itself, and reports it to the content's homes.
-func (t *Table) Ended(now time.Time, id content.ID, end End) {
-	end.Host = t.self
+func (t *Table) Ended(now time.Time, id content.ID, crash End) {
+	crash.Host = t.self
 	s := t.suspect(now, id)
-	s.observed = newestCrashes(append(s.observed, end))
+	s.observed = newestCrashes(append(s.observed, crash))
 	s.resendAt = now.Add(resendDelay)
 	t.due.Add(s.resendAt)
 	t.reportCrashes(now, s, t.homesOf(id))
-	t.addCrash(now, s, end)
+	t.addCrash(now, s, crash)
 }
 
 // Served records that a server has given a complete answer to a content.
@@ -157,9 +157,9 @@
 		if !known || !ok || report.Server == "" {
 			continue // sent by another version of the daemon
 		}
-		end := End{Scope: scope, Service: report.Service, Server: report.Server, At: now.Add(-ageOf(report)), Host: d.From}
-		if t.isEvidence(now, id, end) {
-			t.addCrash(now, t.suspect(now, id), end)
+		crash := End{Scope: scope, Service: report.Service, Server: report.Server, At: now.Add(-ageOf(report)), Host: d.From}
+		if t.isEvidence(now, id, crash) {
+			t.addCrash(now, t.suspect(now, id), crash)
 		}
 	}
 	for _, id := range parseIDs(d.Served) {
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -11,32 +11,32 @@
 	"github.com/pearshelf/pearshelf/internal/register"
 )
 
-// A content that ended three servers, each seen by another host, is refused by all hosts,
-// also by one that starts only then.
+// A content that crashed three servers, each crash observed by a different host, is refused by all
+// hosts, including one that starts afterwards.
 func TestThreeCrashesSeenByThreeHosts(t *testing.T) {
 	f := newFleet(t, 40)
 	bad := contentID("bad")
 	for i := range 3 {
 		if n := f.refusingHosts(bad); n != 0 {
-			t.Fatalf("%d hosts refuse it after %d ends", n, i)
+			t.Fatalf("%d hosts refuse the content after %d crashes", n, i)
 		}
 		f.serverCrashed(fmt.Sprintf("h%03d", 7*i), bad, fmt.Sprint("s", i))
 	}
 	f.advance(500 * time.Millisecond)
 	if n := f.refusingHosts(bad); n != 40 {
-		t.Errorf("%d of 40 hosts refuse it", n)
+		t.Errorf("%d of 40 hosts refuse the content", n)
 	}
 	if f.decisions != 1 {
-		t.Errorf("%d decisions were told to all hosts, one expected", f.decisions)
+		t.Errorf("%d decisions announced, want 1", f.decisions)
 	}
 	f.start("h999")
 	f.syncHosts()
 	if n := f.refusingHosts(bad); n != 41 {
-		t.Errorf("%d of 41 hosts refuse it after a start", n)
+		t.Errorf("%d of 41 hosts refuse the content after a host started", n)
 	}
 }
 
-// One server that ends counts once, however many hosts lose a connection to it.
+// A server's crash counts once, however many hosts lose a connection to it.
 func TestOneServerCountsOnce(t *testing.T) {
 	f := newFleet(t, 10)
 	for i := range 10 {
@@ -44,24 +44,25 @@
 	}
 	f.advance(time.Second)
 	if n := f.refusingHosts(contentID("popular")); n != 0 {
-		t.Errorf("%d hosts refuse it", n)
+		t.Errorf("%d hosts refuse the content", n)
 	}
 }
 
-// A service of one server: it starts again under its ID each time.
+// Repeated crashes of one server count separately: a service may have a single server, which restarts
+// under the same ID each time.
 func TestOneServerCrashesRepeatedly(t *testing.T) {
 	f := newFleet(t, 10)
 	for i := range 3 {
 		f.serverCrashed(fmt.Sprintf("h%03d", i), contentID("bad"), "s1")
-		f.serverCrashed(fmt.Sprintf("h%03d", i+3), contentID("bad"), "s1") // another host's copy
+		f.serverCrashed(fmt.Sprintf("h%03d", i+3), contentID("bad"), "s1") // same crash, observed by another host
 		f.advance(4 * time.Second)
 	}
 	if n := f.refusingHosts(contentID("bad")); n != 10 {
-		t.Errorf("%d of 10 hosts refuse it", n)
+		t.Errorf("%d of 10 hosts refuse the content", n)
 	}
 }
 
-// Half of all messages are lost; what is told again makes up for it.
+// Half of all messages are lost; resending reports compensates for most of it.
 func TestLostMessages(t *testing.T) {
 	found := 0
 	const contents = 200
@@ -77,14 +78,14 @@
 			found++
 		}
 	}
-	// a home lacks an end with a chance of 1/4, and of three homes one must have all three
-	// ends: 1-(1-(3/4)^3)^3 = 0.81, more where a witness is a home
+	// A home misses a crash with probability 1/4, and at least one of three homes must know of
+	// all three crashes: 1-(1-(3/4)^3)^3 = 0.81, more if an observing host is a home.
 	if found < contents*3/4 {
-		t.Errorf("found %d of %d", found, contents)
+		t.Errorf("detected %d of %d contents", found, contents)
 	}
 }
 
-// Hosts that were cut off refuse the content as soon as they hear others again.
+// Partitioned hosts refuse the content as soon as they are connected again.
 func TestPartitionedHostsLearnOfQuarantine(t *testing.T) {
 	f := newFleet(t, 12)
 	for i := range 4 {
@@ -96,43 +97,44 @@
 	}
 	f.advance(time.Second)
 	if n := f.refusingHosts(contentID("bad")); n != 8 {
-		t.Fatalf("%d of the 8 hosts refuse it that hear each other", n)
+		t.Fatalf("%d of the 8 connected hosts refuse the content", n)
 	}
 	for _, h := range f.hosts {
 		h.partition = 0
 	}
 	f.syncHosts()
 	if n := f.refusingHosts(contentID("bad")); n != 12 {
-		t.Errorf("%d of 12 hosts refuse it", n)
+		t.Errorf("%d of 12 hosts refuse the content", n)
 	}
 }
 
-// The homes of a content are killed between its ends: those who saw them tell the new homes.
+// The homes of a content are killed between its crashes. The hosts that observed the crashes report
+// them to the new homes.
 func TestHomesAreKilled(t *testing.T) {
 	f := newFleet(t, 20)
 	bad := contentID("bad")
 	homesNow := f.hosts["h000"].table.homesOf(bad)
-	var witnesses []string
+	var observers []string
 	for name := range f.hosts {
-		if name != homesNow[0] && name != homesNow[1] && name != homesNow[2] && len(witnesses) < 3 {
-			witnesses = append(witnesses, name)
+		if name != homesNow[0] && name != homesNow[1] && name != homesNow[2] && len(observers) < 3 {
+			observers = append(observers, name)
 		}
 	}
-	f.serverCrashed(witnesses[0], bad, "s1")
-	f.serverCrashed(witnesses[1], bad, "s2")
+	f.serverCrashed(observers[0], bad, "s1")
+	f.serverCrashed(observers[1], bad, "s2")
 	f.advance(time.Second)
 	for _, home := range homesNow {
 		delete(f.hosts, home)
 	}
 	f.syncHosts()
-	f.serverCrashed(witnesses[2], bad, "s3")
+	f.serverCrashed(observers[2], bad, "s3")
 	f.advance(time.Second)
 	if n := f.refusingHosts(bad); n != 17 {
-		t.Errorf("%d of 17 hosts refuse it", n)
+		t.Errorf("%d of 17 hosts refuse the content", n)
 	}
 }
 
-// A whole answer clears a content, also while it is in quarantine.
+// A complete answer clears a content, even while it is in quarantine.
 func TestAnswerClears(t *testing.T) {
 	f := newFleet(t, 10)
 	popular := contentID("popular")
@@ -145,21 +147,22 @@
 	f.serverCrashed("h004", popular, "s4")
 	f.advance(time.Second)
 	if n := f.refusingHosts(popular); n != 0 {
-		t.Fatalf("%d hosts refuse what was answered between its ends", n)
+		t.Fatalf("%d hosts refuse a content that was answered between its crashes", n)
 	}
 	f.serverCrashed("h005", popular, "s5")
 	f.advance(time.Second)
 	if n := f.refusingHosts(popular); n != 10 {
-		t.Fatalf("%d of 10 hosts refuse it after three ends in a row", n)
+		t.Fatalf("%d of 10 hosts refuse the content after three crashes without an answer", n)
 	}
-	f.answered("h007", popular) // it was under way
+	f.answered("h007", popular) // was in progress
 	f.advance(time.Second)
 	if n := f.refusingHosts(popular); n != 0 {
-		t.Errorf("%d hosts refuse it after an answer", n)
+		t.Errorf("%d hosts refuse the content after an answer", n)
 	}
 }
 
-// What was answered is told once, not with each answer: a popular read comes often.
+// An answer that clears a content is reported once, and later ones are not: a popular read is answered
+// often.
 func TestAnswerIsReportedOnce(t *testing.T) {
 	f := newFleet(t, 10)
 	f.serverCrashed("h001", contentID("popular"), "s1")
@@ -174,12 +177,12 @@
 	}
 	for _, h := range f.hosts {
 		if h.table.Watches() {
-			t.Errorf("%s still has evidence", h.name)
+			t.Errorf("%s still holds evidence", h.name)
 		}
 	}
 }
 
-// After an operator has lifted a quarantine it takes as many ends as at first.
+// After an operator has lifted a quarantine, a new one takes the full number of crashes again.
 func TestLiftDiscardsEvidence(t *testing.T) {
 	f := newFleet(t, 10)
 	bad := contentID("bad")
@@ -193,16 +196,17 @@
 	f.serverCrashed("h004", bad, "s8")
 	f.advance(time.Second)
 	if n := f.refusingHosts(bad); n != 0 {
-		t.Errorf("%d hosts refuse it after two ends", n)
+		t.Errorf("%d hosts refuse the content after two crashes", n)
 	}
 	f.serverCrashed("h005", bad, "s9")
 	f.advance(time.Second)
 	if n := f.refusingHosts(bad); n != 10 {
-		t.Errorf("%d of 10 hosts refuse it after three ends", n)
+		t.Errorf("%d of 10 hosts refuse the content after three crashes", n)
 	}
 }
 
-// A busy caller may be at many servers that end by themselves: what is kept is bounded.
+// A busy caller may have requests at many servers that crash for other reasons; the crashes kept for it
+// are bounded.
 func TestCrashesAreBounded(t *testing.T) {
 	table := NewTable("h1")
 	now := time.Unix(1000, 0)
@@ -212,12 +216,12 @@
 	}
 	s := table.suspects[contentID("caller")]
 	if len(s.crashes) > maxCrashes || len(s.observed) > maxCrashes {
-		t.Errorf("%d and %d ends are kept", len(s.crashes), len(s.observed))
+		t.Errorf("%d crashes and %d observed crashes kept", len(s.crashes), len(s.observed))
 	}
 }
 
-// When a hold is over one host sends the content once. If another server ends the next
-// hold is longer, if it is answered all hosts serve it.
+// After a hold, one host sends the content once. If another server crashes, the next hold is longer;
+// if the content is answered, all hosts serve it.
 func TestTrials(t *testing.T) {
 	f := newFleet(t, 10)
 	bad := contentID("bad")
@@ -226,32 +230,32 @@
 	}
 	f.advance(initialHold - time.Second)
 	if n := f.trialCount(bad); n != 0 {
-		t.Fatalf("%d hosts may try it before the hold is over", n)
+		t.Fatalf("%d hosts allowed a trial during the hold", n)
 	}
 	f.advance(2 * time.Second)
 	tried := f.hostsAllowedTrial(bad)
 	if len(tried) != 1 || f.trialCount(bad) != 0 {
-		t.Fatalf("tried by %v, and again by %d", tried, f.trialCount(bad))
+		t.Fatalf("trial allowed at %v, and again at %d hosts; want one trial", tried, f.trialCount(bad))
 	}
 	f.serverCrashed(tried[0], bad, "s7")
 	f.advance(initialHold + time.Second)
 	if n := f.refusingHosts(bad); n != 10 {
-		t.Fatalf("%d of 10 hosts refuse it in the second hold", n)
+		t.Fatalf("%d of 10 hosts refuse the content in the second hold", n)
 	}
 	f.advance(initialHold * holdFactor)
 	tried = f.hostsAllowedTrial(bad)
 	if len(tried) != 1 {
-		t.Fatalf("tried by %v after the second hold", tried)
+		t.Fatalf("trial allowed at %v after the second hold, want one host", tried)
 	}
 	f.answered(tried[0], bad)
 	for _, h := range f.hosts {
 		if h.table.view.Get(bad) != nil {
-			t.Errorf("%s refuses what was answered on trial", h.name)
+			t.Errorf("%s refuses a content that was answered on trial", h.name)
 		}
 	}
 }
 
-// A caller that always comes to one host gets its trial there, and no other host tries.
+// A content that arrives only at one host gets its trial there, and no other host is allowed one.
 func TestTrialAtAnyHost(t *testing.T) {
 	f := newFleet(t, 10)
 	bad := contentID("bad")
@@ -268,24 +272,24 @@
 	}
 	q := at.table.view.Get(bad)
 	if tries, _ := at.table.Trial(f.now, q); tries {
-		t.Fatal("it was tried without a grant")
+		t.Fatal("trial allowed without a grant")
 	}
 	f.deliver()
 	if tries, _ := at.table.Trial(f.now, q); !tries {
-		t.Fatal("no grant came")
+		t.Fatal("no trial granted")
 	}
 	if tried := f.hostsAllowedTrial(bad); len(tried) != 0 {
-		t.Errorf("tried by %v beside it", tried)
+		t.Errorf("trial also allowed at %v", tried)
 	}
 }
 
-// Requests of one caller that differ each time: six servers that end, without an answer.
+// A caller whose requests differ each time is refused after six crashes without an answer.
 func TestCallerWhoseRequestsDiffer(t *testing.T) {
 	f := newFleet(t, 10)
 	for i := range 2 * callerThreshold {
 		host := f.hosts[fmt.Sprintf("h%03d", i%10)]
 		if n := f.refusingHosts(contentID("caller")); i < callerThreshold && n > 0 || i == callerThreshold && n != 10 {
-			t.Fatalf("%d of 10 hosts refuse the caller after %d ends", n, i)
+			t.Fatalf("%d of 10 hosts refuse the caller after %d crashes", n, i)
 		}
 		if i >= callerThreshold {
 			f.advance(time.Second)
@@ -298,11 +302,11 @@
 		f.advance(time.Second)
 	}
 	if n := f.trialCount(contentID("caller")); n != 1 {
-		t.Errorf("%d requests of the caller are tried once its hold is over", n)
+		t.Errorf("%d trials of the caller after its hold, want 1", n)
 	}
 }
 
-// However many contents there are, memory and what is told to all hosts are bounded.
+// Memory and the rate of announcements are bounded, however many contents there are.
 func TestBounds(t *testing.T) {
 	f := newFleet(t, 1)
 	for i := range 2 * maxSuspects {
@@ -311,10 +315,10 @@
 		}
 	}
 	if n := len(f.hosts["h000"].table.suspects); n > maxSuspects {
-		t.Errorf("%d contents are kept", n)
+		t.Errorf("%d contents kept", n)
 	}
 	if f.decisions > maxDecisionsPerSecond {
-		t.Errorf("%d decisions in one moment", f.decisions)
+		t.Errorf("%d decisions at once", f.decisions)
 	}
 	f.advance(3 * time.Second)
 	if f.decisions <= maxDecisionsPerSecond || f.decisions > 4*maxDecisionsPerSecond {
@@ -322,7 +326,7 @@
 	}
 }
 
-// A register that came from another host says the same there.
+// A quarantine survives encoding to a register and decoding on another host.
 func TestRegisterRoundTrip(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := &Quarantine{Content: contentID("bad"), Service: "shop", Until: now.Add(ScopeContent.holdDuration(2)), Trials: 2, Ends: []End{{Service: "shop", Server: "s1", At: now.Add(-time.Second), Host: "h1"}}}
@@ -339,9 +343,9 @@
 	}
 }
 
-// What hosts tell each other does not grow with their number, and nothing is told in calm.
-// With 100 contents at once 241 bytes are sent for each end among 36 hosts and 246 among
-// 1,100, and each host is told 10 KB of decisions.
+// The traffic per crash does not grow with the number of hosts, and there is none without crashes.
+// With 100 contents at once, 241 bytes are sent per crash among 36 hosts and 246 among 1,100, and
+// each host receives 10 KB of decisions.
 func TestTrafficDoesNotGrowWithHosts(t *testing.T) {
 	const contents = 20
 	first := 0
@@ -349,26 +353,26 @@
 		f := newFleet(t, n)
 		f.advance(time.Second)
 		if f.bytesSent+f.decisionBytes != 0 {
-			t.Errorf("%d hosts: %d bytes in calm", n, f.bytesSent+f.decisionBytes)
+			t.Errorf("%d hosts: %d bytes sent without crashes", n, f.bytesSent+f.decisionBytes)
 		}
 		for i := range contents {
 			for j := range 3 {
 				f.serverCrashed(f.names[f.rng.IntN(n)], contentID(fmt.Sprint("bad", i)), fmt.Sprintf("s%d-%d", i, j))
 			}
 		}
-		f.advance(200 * time.Millisecond) // what is told again
+		f.advance(200 * time.Millisecond) // includes the resends
 		perEnd := f.bytesSent / (3 * contents)
-		t.Logf("%d hosts, %d contents at once: %d bytes sent for each end, %d bytes told to each host", n, contents, perEnd, f.decisionBytes)
+		t.Logf("%d hosts, %d contents at once: %d bytes sent per crash, %d bytes of decisions to each host", n, contents, perEnd, f.decisionBytes)
 		if first == 0 {
 			first = perEnd
 		}
 		if perEnd > first*5/4 {
-			t.Errorf("%d hosts: %d bytes for each end, %d with 36 hosts", n, perEnd, first)
+			t.Errorf("%d hosts: %d bytes per crash, %d with 36 hosts", n, perEnd, first)
 		}
 	}
 }
 
-// FuzzMessages: what other hosts send is read without a panic.
+// FuzzMessages checks that no datagram from another host causes a panic.
 func FuzzMessages(f *testing.F) {
 	f.Add([]byte("0123456789abcdef"), "s", uint32(1))
 	f.Add([]byte{}, "", uint32(0))
@@ -387,9 +391,9 @@
 	})
 }
 
-// A home that decides later than the first must not do so after an operator has lifted what
-// the first has decided, of which it may not have heard in between. On a busy machine a
-// lifted content was refused again, 0.15 s later.
+// A lower-ranked home must not decide after an operator has lifted the first home's quarantine, of
+// which it may not have learned in between. On a busy machine, a lifted content was refused again
+// 0.15 s later.
 func TestLateHomeDoesNotDecideAgain(t *testing.T) {
 	f := newFleet(t, 10)
 	bad := contentID("bad")
@@ -408,8 +412,8 @@
 	}
 }
 
-// Between a decision and the moment in which the control loop writes it the content may be
-// lifted, or another home's decision may arrive.
+// Between a decision and its execution by the control loop, the quarantine may be lifted or another
+// home's decision may arrive.
 func TestSupersededDecisions(t *testing.T) {
 	now := time.Unix(1000, 0)
 	bad := contentID("bad")
@@ -425,15 +429,15 @@
 		view *View
 		want bool
 	}{
-		"nothing known":                 {NewView(nil), false},
-		"lifted before the newest end":  {lifted(now.Add(500 * time.Millisecond)), false},
-		"lifted after all ends":         {lifted(now.Add(2 * time.Second)), true},
-		"decided by another home":       {NewView([]*Quarantine{{Content: bad}}), true},
-		"a trial of another has failed": {NewView([]*Quarantine{{Content: bad, Trials: 1}}), true},
-		"another content in quarantine": {NewView([]*Quarantine{{Content: contentID("x")}}), false},
+		"no registers":                   {NewView(nil), false},
+		"lifted before the newest crash": {lifted(now.Add(500 * time.Millisecond)), false},
+		"lifted after all crashes":       {lifted(now.Add(2 * time.Second)), true},
+		"decided by another home":        {NewView([]*Quarantine{{Content: bad}}), true},
+		"another trial has failed":       {NewView([]*Quarantine{{Content: bad, Trials: 1}}), true},
+		"another content in quarantine":  {NewView([]*Quarantine{{Content: contentID("x")}}), false},
 	} {
 		if got := c.view.Supersedes(decided); got != c.want {
-			t.Errorf("%s: %t", name, got)
+			t.Errorf("%s: got %t", name, got)
 		}
 	}
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -99,7 +99,7 @@
 mutant "answered before, tried early" internal/quarantine/trial.go 's/now.Sub(began) < earlyTrialWindow/now.Before(began)/' ./internal/quarantine -run AnsweredBefore
 mutant "never answered, not tried early" internal/quarantine/trial.go 's/ \&\& t.knownAnswered(now, q.Content)//' ./internal/quarantine -run WithoutAnswer
 mutant "an answer at another host, tried early" internal/quarantine/table.go 's/^			t.reportAnsweredBefore(now, q.Content)$//' ./experiment/replay -run BesideThose
-mutant "one end counts once" internal/quarantine/suspect.go 's/if slices.ContainsFunc(s.crashes, end.sameCrash) {/if slices.ContainsFunc(s.crashes, end.sameCrash) \&\& false {/' ./internal/quarantine -run OneServerCountsOnce
+mutant "one end counts once" internal/quarantine/suspect.go 's/if slices.ContainsFunc(s.crashes, crash.sameCrash) {/if slices.ContainsFunc(s.crashes, crash.sameCrash) \&\& false {/' ./internal/quarantine -run OneServerCountsOnce
 mutant "ends are told again" internal/quarantine/table.go 's/s.resendAt = now.Add(resendDelay)/s.resendAt = time.Time{}/' ./internal/quarantine -run LostMessages
 mutant "new homes are told" internal/quarantine/table.go 's/^		t.reportToNewHomes(now, s)$/		_ = s/' ./internal/quarantine -run HomesAreKilled
 mutant "one trial at a time" internal/quarantine/trial.go 's/tried \&\& now.Sub(began) < trialInterval/tried \&\& now.Before(began)/' ./internal/quarantine -run TestTrial
