--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -95,7 +95,7 @@
 mutant "first report is a use" internal/policy/report.go 's/!known || next.requests/next.requests/' ./internal/policy
 mutant "contents are counted" internal/quarantine/quarantine.go 's/	contentThreshold = 3$/	contentThreshold = 300/' ./e2e -run TestRequestThatEndsServers
 mutant "an answer clears a content" internal/quarantine/suspect.go 's/^	delete(t.suspects, id)$//' ./internal/quarantine -run 'HarmlessRequests|AnswerClears'
-mutant "an answer at any host clears" internal/quarantine/table.go 's/q.Trials == 0 \&\& t.answers.clears(q)/false/' ./internal/quarantine -run AnswerAtAnyHost
+mutant "an answer at any host clears" internal/quarantine/table.go 's/case t.answers.clears(q):/case false:/' ./internal/quarantine -run AnswerAtAnyHost
 mutant "answered before, tried early" internal/quarantine/trial.go 's/now.Sub(began) < earlyTrialWindow/now.Before(began)/' ./internal/quarantine -run AnsweredBefore
 mutant "never answered, not tried early" internal/quarantine/trial.go 's/ \&\& t.knownAnswered(now, q.Content)//' ./internal/quarantine -run WithoutAnswer
 mutant "an answer at another host, tried early" internal/quarantine/table.go 's/^			t.reportAnsweredBefore(now, q.Content)$//' ./experiment/replay -run BesideThose
