--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// BenchmarkCheck is what each request costs while contents are in quarantine, beside the
-// digest (package content).
+// BenchmarkCheck measures the cost per request while contents are in quarantine, without the
+// digest (see package content).
 func BenchmarkCheck(b *testing.B) {
 	all := make([]*Quarantine, 100)
 	for i := range all {
-		all[i] = &Quarantine{Content: idOf(fmt.Sprint(i))}
+		all[i] = &Quarantine{Content: contentID(fmt.Sprint(i))}
 	}
 	view := NewView(all)
-	id := idOf("another")
+	id := contentID("another")
 	b.ReportAllocs()
 	for b.Loop() {
 		view.Get(id)
 	}
 }
 
-// BenchmarkServed is what each answer costs a host that has evidence of 4,096 contents.
+// BenchmarkServed measures the cost per answer on a host that holds evidence against 4,096 contents.
 func BenchmarkServed(b *testing.B) {
 	table := NewTable("h1")
 	now := time.Unix(1000, 0)
 	for i := range maxSuspects {
-		table.Ended(now, idOf(fmt.Sprint(i)), End{Server: "s1", At: now})
+		table.Ended(now, contentID(fmt.Sprint(i)), End{Server: "s1", At: now})
 	}
-	id := idOf("another")
+	id := contentID("another")
 	b.ReportAllocs()
 	for b.Loop() {
 		table.Served(now, id)
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -16,32 +16,32 @@
 	"github.com/pearshelf/pearshelf/internal/rendezvous"
 )
 
-// fleet is hosts with their tables, and registers that reach each host that hears.
+// fleet simulates hosts with their tables, and registers that are replicated within a partition.
 type fleet struct {
 	t       *testing.T
 	now     time.Time
 	hosts   map[string]*host
-	names   []string // of all that have ever run
+	names   []string // of all hosts ever started
 	version uint64
 	clock   uint64
-	// lose is the share of messages that are lost.
-	lose float64
-	rng  *rand.Rand
-	// decided counts the decisions that were told, sent the bytes of all messages between
-	// hosts, and told those of decisions at one host.
-	decided int
-	sent    int
-	told    int
+	// lossRate is the share of messages between hosts that are lost.
+	lossRate float64
+	rng      *rand.Rand
+	// decisions counts the announced quarantines, bytesSent the bytes of all messages between
+	// hosts, and decisionBytes the bytes of announced decisions that each host receives.
+	decisions     int
+	bytesSent     int
+	decisionBytes int
 }
 
 type host struct {
 	name  string
 	table *Table
 	store *register.Store
-	// side tells which hosts hear each other.
-	side int
-	// since is when it last started or last began to hear others.
-	since time.Time
+	// partition is the network partition; hosts of the same one can communicate.
+	partition int
+	// connectedSince is when the host last started or last changed its partition.
+	connectedSince time.Time
 }
 
 func newFleet(t *testing.T, n int) *fleet {
@@ -49,25 +49,25 @@
 	for i := range n {
 		f.start(fmt.Sprintf("h%03d", i))
 	}
-	f.settle()
+	f.syncHosts()
 	return f
 }
 
-// start adds a host that knows nothing, or replaces one.
+// start adds a host with empty state, or replaces one.
 func (f *fleet) start(name string) {
-	f.hosts[name] = &host{name: name, table: NewTable(name), store: register.NewStore(), since: f.now}
+	f.hosts[name] = &host{name: name, table: NewTable(name), store: register.NewStore(), connectedSince: f.now}
 	if !slices.Contains(f.names, name) {
 		f.names = append(f.names, name)
 	}
 }
 
-// settle lets every host know which others it hears, and compare registers with them.
-func (f *fleet) settle() {
+// syncHosts updates each host's live hosts and merges the registers of its partition.
+func (f *fleet) syncHosts() {
 	f.version++
 	for _, h := range f.hosts {
 		var homes []rendezvous.Node
 		for _, other := range f.hosts {
-			if other.side == h.side {
+			if other.partition == h.partition {
 				homes = append(homes, rendezvous.NewNode(other.name, ""))
 				for _, r := range other.store.All(f.now) {
 					h.store.Merge(f.now, r)
@@ -80,57 +80,58 @@
 	f.deliver()
 }
 
-// deliver carries what tables have to tell until there is nothing more.
+// deliver carries messages and decisions between hosts until none is left.
 func (f *fleet) deliver() {
 	for again := true; again; {
 		again = false
 		for _, h := range f.hosts {
 			for _, m := range h.table.Messages() {
-				f.sent += proto.Size(&peerpb.Datagram{From: h.name, Ends: m.Ends, Served: m.Served, TrialAsks: m.Asks, TrialGrants: m.Grants, AnsweredBefore: m.Answered})
+				f.bytesSent += proto.Size(&peerpb.Datagram{From: h.name, Ends: m.Ends, Served: m.Served, TrialAsks: m.Asks, TrialGrants: m.Grants, AnsweredBefore: m.Answered})
 				to, ok := f.hosts[m.To]
-				if !ok || to.side != h.side || f.rng.Float64() < f.lose {
+				if !ok || to.partition != h.partition || f.rng.Float64() < f.lossRate {
 					continue
 				}
 				to.table.Receive(f.now, &peerpb.Datagram{From: h.name, Ends: m.Ends, Served: m.Served, TrialAsks: m.Asks, TrialGrants: m.Grants, AnsweredBefore: m.Answered})
 				again = true
 			}
 			for _, d := range h.table.Decisions() {
-				f.tell(h, d)
+				f.announce(h, d)
 				again = true
 			}
 		}
 	}
 }
 
-// stamp is later than all before it.
-func (f *fleet) stamp() uint64 {
+// nextClock returns a stamp that is later than all previous ones.
+func (f *fleet) nextClock() uint64 {
 	f.clock = max(f.clock+1, uint64(hlc.FromTime(f.now)))
 	return f.clock
 }
 
-func (f *fleet) tell(from *host, d Decision) {
+// announce writes a decision to the registers of all hosts in the sender's partition.
+func (f *fleet) announce(from *host, d Decision) {
 	var r *peerpb.Register
 	if d.Quarantine == nil {
 		r = Lift(d.Cleared)
 	} else {
-		f.decided++
+		f.decisions++
 		var err error
 		if r, err = d.Quarantine.Register(f.now); err != nil {
 			f.t.Fatal(err)
 		}
 	}
-	f.told += proto.Size(r)
-	r.Stamp = &peerpb.Stamp{Clock: f.stamp(), Host: from.name}
+	f.decisionBytes += proto.Size(r)
+	r.Stamp = &peerpb.Stamp{Clock: f.nextClock(), Host: from.name}
 	for _, h := range f.hosts {
-		if h.side == from.side {
+		if h.partition == from.partition {
 			h.store.Merge(f.now, r)
 			h.table.SetView(f.now, ViewOf(h.store))
 		}
 	}
 }
 
-// pass lets time pass.
-func (f *fleet) pass(d time.Duration) {
+// advance moves the clock forward in steps, with a tick at each.
+func (f *fleet) advance(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(min(50*time.Millisecond, end.Sub(f.now)))
 		for _, h := range f.hosts {
@@ -140,18 +141,20 @@
 	}
 }
 
-func (f *fleet) ended(host string, id content.ID, server string) {
+// serverCrashed lets a host observe the crash of a server that ran a content.
+func (f *fleet) serverCrashed(host string, id content.ID, server string) {
 	f.hosts[host].table.Ended(f.now, id, End{Service: "shop", Server: server, At: f.now})
 	f.deliver()
 }
 
-func (f *fleet) served(host string, id content.ID) {
+// answered lets a host pass on a complete answer to a content.
+func (f *fleet) answered(host string, id content.ID) {
 	f.hosts[host].table.Served(f.now, id)
 	f.deliver()
 }
 
-// refusedBy counts the hosts that refuse a content.
-func (f *fleet) refusedBy(id content.ID) int {
+// refusingHosts returns the number of hosts that refuse a content.
+func (f *fleet) refusingHosts(id content.ID) int {
 	n := 0
 	for _, h := range f.hosts {
 		if q := h.table.view.Get(id); q != nil && f.now.Before(q.Until) {
@@ -161,18 +164,19 @@
 	return n
 }
 
-func idOf(name string) content.ID { return content.Of(content.Request{Target: name}) }
+func contentID(name string) content.ID { return content.Of(content.Request{Target: name}) }
 
-func (f *fleet) triedBy(id content.ID) []string {
-	var by []string
+// hostsAllowedTrial lets each host request a trial, and returns those that are allowed one.
+func (f *fleet) hostsAllowedTrial(id content.ID) []string {
+	var allowed []string
 	for _, h := range f.hosts {
 		if q := h.table.view.Get(id); q != nil {
-			if tries, _ := h.table.Trial(f.now, q); tries {
-				by = append(by, h.name)
+			if ok, _ := h.table.Trial(f.now, q); ok {
+				allowed = append(allowed, h.name)
 			}
 		}
 	}
-	return by
+	return allowed
 }
 
-func (f *fleet) trials(id content.ID) int { return len(f.triedBy(id)) }
+func (f *fleet) trialCount(id content.ID) int { return len(f.hostsAllowedTrial(id)) }
--- a/internal/quarantine/suspect.go
+++ b/internal/quarantine/suspect.go
@@ -7,84 +7,87 @@
 	"github.com/pearshelf/pearshelf/internal/content"
 )
 
-// suspect is what a host knows of a content.
+// suspect is the evidence that a host holds against a content.
 type suspect struct {
-	id   content.ID
-	ends []End
-	// own are those of the ends that this host has seen itself, told the hosts that were
-	// told of them, and tellAgain when they are told once more, zero if they have been.
-	own       []End
-	told      []string
-	tellAgain time.Time
-	// decideAt is when this home decides, unless another has; zero if nothing is due.
-	decideAt time.Time
-	changed  time.Time
+	id      content.ID
+	crashes []End
+	// observed are the crashes that this host has observed itself, and notified the hosts that
+	// they were reported to. They are reported once more at resendAt, which is zero after that.
+	observed []End
+	notified []string
+	resendAt time.Time
+	// decideAt is when this host decides unless another one has done so before; zero if no
+	// decision is scheduled.
+	decideAt  time.Time
+	updatedAt time.Time
 }
 
-// suspect returns the row of a content, made if absent.
+// suspect returns the entry of a content, creating it if necessary.
 func (t *Table) suspect(now time.Time, id content.ID) *suspect {
 	s, ok := t.suspects[id]
 	if !ok {
-		t.makeRoom()
+		t.evictOldest()
 		s = &suspect{id: id}
 		t.suspects[id] = s
-		t.due.Add(now.Add(knownFor))
+		t.due.Add(now.Add(evidenceTTL))
 	}
-	s.changed = now
+	s.updatedAt = now
 	return s
 }
 
-// makeRoom drops the row that has been unchanged for longest, if there are too many.
-func (t *Table) makeRoom() {
+// evictOldest evicts the least recently updated entry if the table is full.
+func (t *Table) evictOldest() {
 	if len(t.suspects) < maxSuspects {
 		return
 	}
 	var oldest *suspect
 	for _, s := range t.suspects {
-		if oldest == nil || s.changed.Before(oldest.changed) {
+		if oldest == nil || s.updatedAt.Before(oldest.updatedAt) {
 			oldest = s
 		}
 	}
 	delete(t.suspects, oldest.id)
 }
 
-// counts reports whether an end is still evidence against a content.
-func (t *Table) counts(now time.Time, id content.ID, end End) bool {
-	cleared, known := t.cleared[id]
-	return now.Sub(end.At) <= knownFor && (!known || end.At.After(cleared))
+// isEvidence reports whether a crash is still evidence against a content: it has not expired, and
+// the content has not been answered since.
+func (t *Table) isEvidence(now time.Time, id content.ID, crash End) bool {
+	cleared, known := t.clearedAt[id]
+	return now.Sub(crash.At) <= evidenceTTL && (!known || crash.At.After(cleared))
 }
 
-// add notes the end of a server, once however many hosts tell of it.
-func (t *Table) add(now time.Time, s *suspect, end End) {
-	if slices.ContainsFunc(s.ends, end.same) {
+// addCrash records a server's crash. Reports of the same crash by several hosts count once.
+func (t *Table) addCrash(now time.Time, s *suspect, crash End) {
+	if slices.ContainsFunc(s.crashes, crash.sameCrash) {
 		return
 	}
-	s.ends = newest(append(s.ends, end))
-	t.consider(now, s)
+	s.crashes = newestCrashes(append(s.crashes, crash))
+	t.scheduleDecision(now, s)
 }
 
-// newest keeps as many ends as are of use.
-func newest(ends []End) []End { return ends[max(len(ends)-maxEnds, 0):] }
+// newestCrashes returns the last maxCrashes elements.
+func newestCrashes(crashes []End) []End { return crashes[max(len(crashes)-maxCrashes, 0):] }
 
-// clear forgets the ends of a content that has been answered, and ends its quarantine.
+// clear drops the evidence against a content that was answered, and lifts its quarantine.
 func (t *Table) clear(now time.Time, id content.ID) {
 	delete(t.suspects, id)
-	if len(t.cleared) < maxSuspects {
-		t.cleared[id] = now
-		t.due.Add(now.Add(knownFor))
+	if len(t.clearedAt) < maxSuspects {
+		t.clearedAt[id] = now
+		t.due.Add(now.Add(evidenceTTL))
 	}
 	t.lift(now, id)
 }
 
-// lift ends the quarantine of a content, once: many hosts may tell of answers before all know.
+// lift decides that the quarantine of a content ends. It does so once per liftRetryInterval,
+// because many hosts may report answers before the decision has reached them.
 func (t *Table) lift(now time.Time, id content.ID) {
 	if t.view.Get(id) == nil {
 		return
 	}
-	if at, decided := t.lifted[id]; decided && now.Sub(at) < liftAgain {
+	if at, decided := t.liftedAt[id]; decided && now.Sub(at) < liftRetryInterval {
 		return
 	}
-	t.lifted[id] = now
-	t.due.Add(now.Add(liftAgain))
+	t.liftedAt[id] = now
+	t.due.Add(now.Add(liftRetryInterval))
 	t.decisions = append(t.decisions, Decision{Cleared: id})
 }
