--- a/internal/quota/home.go
+++ b/internal/quota/home.go
@@ -9,181 +9,182 @@
 	"github.com/pearshelf/pearshelf/internal/customer"
 )
 
-// home is a customer's bucket at its home host.
+// home is the state of a customer at its home host.
 type home struct {
 	name  string
 	limit customer.Limit
 	bucket
-	since time.Time // of this host as home
-	users map[string]*user
-	order []string // of users, as they came, so that equal runs are equal
-	// inheritedAt is when the parts were measured that hosts told which knew an earlier
-	// home, zero if none did.
+	since     time.Time // this host became the home
+	hosts     map[string]*hostUsage
+	hostOrder []string // hosts by first report, for deterministic iteration
+	// inheritedAt is the time at which the shares that hosts report from an earlier home were
+	// measured, zero if there are none.
 	inheritedAt time.Time
-	// part of the limit that this home gives out, and started, its largest value while the
-	// home was new.
-	part    float64
-	started float64
-	// credits may still be spent, as of the last look.
-	credits  float64
-	lookedAt time.Time
-	// second and the hosts that were refused in it and in the one before.
-	second                    int64
-	refusedNow, refusedBefore int
+	// share of the limit that this home distributes, and initialShare, its largest value
+	// during the handover period.
+	share        float64
+	initialShare float64
+	// outstandingCredits are the unspent credits, as of refreshedAt.
+	outstandingCredits float64
+	refreshedAt        time.Time
+	// refusalSecond is the current second in Unix time, followed by the number of hosts
+	// refused in it and in the second before.
+	refusalSecond                    int64
+	refusedHosts, refusedHostsBefore int
 }
 
-// user is a host that serves the customer, as the home knows it.
-type user struct {
-	life  uint64
-	term  uint64
-	spent uint64 // of credits, in term
-	use   float64
-	// part of the fleet's use, as of when the host was last heard, and inherited, what it
-	// was at an earlier home.
-	part      float64
-	inherited float64
-	again     bool // it said that it would tell again soon
-	heard     time.Time
-	ask       uint64
-	granted   uint32
-	credit    float64
-	until     time.Time // of credit
-	// refusedIn is the second in which the host was last counted as refused.
-	refusedIn int64
+// hostUsage is a home's state of a host that serves the customer.
+type hostUsage struct {
+	incarnation uint64
+	term        uint64
+	spent       uint64 // credits spent in term
+	rate        float64
+	// share of the rate of the whole fleet, as of lastHeard, and inheritedShare, the share at
+	// an earlier home.
+	share          float64
+	inheritedShare float64
+	frequent       bool // the host announced periodic usage reports
+	lastHeard      time.Time
+	requestID      uint64
+	granted        uint32
+	credit         float64
+	creditUntil    time.Time // expiry of credit
+	// refusedSecond is the second, in Unix time, in which the host was last counted as refused.
+	refusedSecond int64
 }
 
-// homeOf returns this host's bucket of a customer, made if absent.
-func (t *Table) homeOf(now time.Time, name string, limit customer.Limit) *home {
+// homeFor returns the state of a customer whose home is this host, and creates it if absent.
+func (t *Table) homeFor(now time.Time, name string, limit customer.Limit) *home {
 	h, ok := t.homes[name]
 	if !ok {
-		h = &home{name: name, since: now, users: make(map[string]*user)}
+		h = &home{name: name, since: now, hosts: make(map[string]*hostUsage)}
 		h.at = now
-		if now.Sub(t.changedAt) > steadyFor && t.hearsAll(name) {
-			// No other host was this customer's home lately, so nobody spent anything.
-			h.tokens, h.started = capacity(limit), 1
+		if now.Sub(t.fleetChangedAt) > stablePeriod && t.seesWholeFleet(name) {
+			// No other host was the home recently, so no tokens were spent.
+			h.tokens, h.initialShare = capacity(limit), 1
 		}
 		t.homes[name] = h
 	}
 	h.limit = limit
-	if now.Sub(h.lookedAt) >= lookEvery {
-		t.look(now, h)
+	if now.Sub(h.refreshedAt) >= refreshInterval {
+		t.refreshShares(now, h)
 	}
-	h.refill(now, limit.PerSecond*h.part, capacity(limit))
+	h.refill(now, limit.PerSecond*h.share, capacity(limit))
 	return h
 }
 
-// user returns the row of a host, made if absent or if it is of an earlier life.
-func (h *home) user(name string, life uint64) (u *user, made bool) {
-	u, known := h.users[name]
-	if known && u.life == life {
+// hostUsage returns the state of a host, and creates it if absent or of an earlier incarnation.
+func (h *home) hostUsage(name string, incarnation uint64) (u *hostUsage, created bool) {
+	u, known := h.hosts[name]
+	if known && u.incarnation == incarnation {
 		return u, false
 	}
 	if !known {
-		h.order = append(h.order, name)
+		h.hostOrder = append(h.hostOrder, name)
 	}
-	u = &user{life: life}
-	h.users[name] = u
+	u = &hostUsage{incarnation: incarnation}
+	h.hosts[name] = u
 	return u, true
 }
 
-// forgetUsers drops hosts that are long gone.
-func (h *home) forgetUsers(now time.Time) {
-	h.order = slices.DeleteFunc(h.order, func(name string) bool {
-		gone := now.Sub(h.users[name].heard) > keptFor
-		if gone {
-			delete(h.users, name)
+// forgetHosts removes hosts that have not reported within shareRetention.
+func (h *home) forgetHosts(now time.Time) {
+	h.hostOrder = slices.DeleteFunc(h.hostOrder, func(name string) bool {
+		expired := now.Sub(h.hosts[name].lastHeard) > shareRetention
+		if expired {
+			delete(h.hosts, name)
 		}
-		return gone
+		return expired
 	})
 }
 
-// Usages takes what another host tells of customers whose home this host is, and queues
-// the answer.
-func (t *Table) Usages(now time.Time, from string, life uint64, usages []*peerpb.CustomerUsage) {
+// Usages handles another host's usage reports on customers whose home is this host, and queues
+// the grants in reply.
+func (t *Table) Usages(now time.Time, from string, incarnation uint64, usages []*peerpb.CustomerUsage) {
 	var grants []*peerpb.CustomerGrant
 	for _, u := range usages {
 		limit, known := t.limits(u.Customer)
 		if !known || limit.None() {
-			continue // the host goes by its own configuration
+			continue // unlimited here; the host applies its own configuration
 		}
-		grants = append(grants, t.grant(now, from, life, limit, u))
+		grants = append(grants, t.grant(now, from, incarnation, limit, u))
 	}
 	if len(grants) > 0 {
-		t.out = append(t.out, Message{To: from, Grants: grants})
+		t.outbox = append(t.outbox, Message{To: from, Grants: grants})
 	}
 }
 
-func (t *Table) grant(now time.Time, from string, life uint64, limit customer.Limit, told *peerpb.CustomerUsage) *peerpb.CustomerGrant {
-	h := t.homeOf(now, told.Customer, limit)
-	u, made := h.user(from, life)
-	if made {
-		h.inherit(now, u, told.Part, time.Duration(told.PartAgeMs)*time.Millisecond)
+func (t *Table) grant(now time.Time, from string, incarnation uint64, limit customer.Limit, usage *peerpb.CustomerUsage) *peerpb.CustomerGrant {
+	h := t.homeFor(now, usage.Customer, limit)
+	u, created := h.hostUsage(from, incarnation)
+	if created {
+		h.inherit(now, u, usage.Part, time.Duration(usage.PartAgeMs)*time.Millisecond)
 	}
-	if told.Term != u.term { // what it spent before is not known here
-		u.term, u.spent = told.Term, told.Spent
+	if usage.Term != u.term { // credits spent before this report are not charged
+		u.term, u.spent = usage.Term, usage.Spent
 	}
-	if told.Spent > u.spent {
-		h.tokens -= float64(told.Spent - u.spent)
-		u.spent = told.Spent
+	if usage.Spent > u.spent {
+		h.tokens -= float64(usage.Spent - u.spent)
+		u.spent = usage.Spent
 	}
-	u.use, u.heard, u.again = told.Use, now, told.Again
-	if u.part == 0 || now.Sub(h.since) < youngFor {
-		t.look(now, h)
+	u.rate, u.lastHeard, u.frequent = usage.Use, now, usage.Again
+	if u.share == 0 || now.Sub(h.since) < handoverPeriod {
+		t.refreshShares(now, h)
 	}
-	answer := &peerpb.CustomerGrant{Customer: told.Customer, Ask: told.Ask, Part: u.part}
-	if told.Ask != 0 && told.Ask == u.ask {
+	answer := &peerpb.CustomerGrant{Customer: usage.Customer, Ask: usage.Ask, Part: u.share}
+	if usage.Ask != 0 && usage.Ask == u.requestID {
 		answer.Granted = u.granted
-	} else if told.Ask != 0 {
-		u.ask = told.Ask
-		u.granted = h.takeUpTo(told.Wanted)
+	} else if usage.Ask != 0 {
+		u.requestID = usage.Ask
+		u.granted = h.takeUpTo(usage.Wanted)
 		answer.Granted = u.granted
 	}
-	if told.Ask != 0 && answer.Granted < told.Wanted {
-		answer.PauseMs = uint32(h.pause(now, u, t.rule.MostPause).Milliseconds())
+	if usage.Ask != 0 && answer.Granted < usage.Wanted {
+		answer.PauseMs = uint32(h.backOff(now, u, t.rule.MaxBackoff).Milliseconds())
 	}
-	answer.Credit = h.giveCredit(now, u)
+	answer.Credit = h.renewCredit(now, u)
 	return answer
 }
 
-// takeUpTo takes as many tokens as are wanted and there.
+// takeUpTo takes the wanted number of tokens, or as many as there are.
 func (h *home) takeUpTo(wanted uint32) uint32 {
 	granted := uint32(math.Min(float64(wanted), math.Max(math.Floor(h.tokens), 0)))
 	h.tokens -= float64(granted)
 	return granted
 }
 
-// giveCredit renews the tokens that a host may spend without a question. There are none
-// while the bucket is low: tokens that lie idle on one host are missing on another.
-func (h *home) giveCredit(now time.Time, u *user) uint32 {
-	if now.Before(u.until) {
-		h.credits -= u.credit
+// renewCredit replaces the credit of a host by a new one. It is 0 while the bucket is low: idle
+// tokens at one host would be missing at others.
+func (h *home) renewCredit(now time.Time, u *hostUsage) uint32 {
+	if now.Before(u.creditUntil) {
+		h.outstandingCredits -= u.credit
 	}
 	u.credit = 0
-	if h.tokens >= creditsAbove*capacity(h.limit) {
-		free := creditShare*h.tokens - math.Max(h.credits, 0)
-		wanted := math.Ceil(u.use * creditLife.Seconds())
+	if h.tokens >= creditThreshold*capacity(h.limit) {
+		free := creditShare*h.tokens - math.Max(h.outstandingCredits, 0)
+		wanted := math.Ceil(u.rate * creditTTL.Seconds())
 		u.credit = math.Max(math.Floor(math.Min(math.Max(wanted, 1), free)), 0)
 	}
-	u.until = now.Add(creditLife)
-	h.credits += u.credit
+	u.creditUntil = now.Add(creditTTL)
+	h.outstandingCredits += u.credit
 	return uint32(u.credit)
 }
 
-// pause is for how long a refused host need not ask: tokens come one after another, and
-// the refused hosts take turns.
-func (h *home) pause(now time.Time, u *user, most time.Duration) time.Duration {
-	if second := now.Unix(); second != h.second {
-		h.refusedBefore = 0
-		if second == h.second+1 {
-			h.refusedBefore = h.refusedNow
+// backOff counts a host as refused and returns how long it sends no token request: the time in
+// which a token accrues for each host that is being refused.
+func (h *home) backOff(now time.Time, u *hostUsage, longest time.Duration) time.Duration {
+	if second := now.Unix(); second != h.refusalSecond {
+		h.refusedHostsBefore = 0
+		if second == h.refusalSecond+1 {
+			h.refusedHostsBefore = h.refusedHosts
 		}
-		h.second, h.refusedNow = second, 0
+		h.refusalSecond, h.refusedHosts = second, 0
 	}
-	if u.refusedIn != h.second {
-		u.refusedIn = h.second
-		h.refusedNow++
+	if u.refusedSecond != h.refusalSecond {
+		u.refusedSecond = h.refusalSecond
+		h.refusedHosts++
 	}
-	perSecond := math.Max(h.limit.PerSecond*h.part, 0.01)
-	turn := inSeconds((float64(max(h.refusedBefore, h.refusedNow)) + math.Max(-h.tokens, 0)) / perSecond)
-	return min(max(turn, leastPause), most)
+	perSecond := math.Max(h.limit.PerSecond*h.share, 0.01)
+	delay := secondsToDuration((float64(max(h.refusedHostsBefore, h.refusedHosts)) + math.Max(-h.tokens, 0)) / perSecond)
+	return min(max(delay, minBackoff), longest)
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,17 +1,20 @@
-// Package quota holds limits over all hosts together: those of customers, which the
-// configuration sets, and the rate limits that backend servers name. What is said of customers
-// holds for servers too, in a table of their own. A customer has a home
-// host, the same by every host's list of live hosts (rendezvous), with a token bucket. The
-// hosts that serve the customer tell the home what they let through, and get tokens: for
-// requests that wait, and while the bucket is well filled as credits, which are spent
-// without a question and expire soon.
+// Package quota enforces request rate limits across all hosts: the limits of customers, which
+// come from the configuration, and the rate limits that backend servers announce. The comments
+// speak of customers; backend servers are limited in the same way by a table of their own.
 //
-// What holds when hosts cannot hear each other: the limit is divided in proportion to what
-// each part let through before. A home keeps back the part of hosts that it no longer
-// hears, and a host that no longer hears the home goes on at its own part. So the parts
-// together keep the limit, whoever is cut off from whom, and nobody needs to know.
+// Each customer has a home host with a token bucket. Rendezvous hashing over the list of live
+// hosts selects it, so that hosts with the same list agree on it. The hosts that serve the
+// customer report to the home what they let through, and receive tokens: on request for
+// requests that wait, and, while the bucket is well filled, as credits, which are spent without
+// a request to the home and expire soon.
 //
-// The package is pure: time is passed in, messages are handed out, nothing runs by itself.
+// During a network partition the limit is divided in proportion to the recent request rates on
+// each side. A home reserves the shares of hosts that it cannot hear, and a host that cannot
+// reach the home continues with its own share. The shares add up to the limit whichever hosts
+// are separated, and no host has to detect the partition.
+//
+// The package does no I/O and starts no goroutines: callers pass in the time and send the
+// messages that it returns.
 package quota
 
 import (
@@ -25,183 +28,187 @@
 )
 
 const (
-	// useWindow is over how long a host's use is averaged. Shorter is noisier, and a cut
-	// divides the limit by it; longer follows a customer that moves to other hosts late.
-	useWindow = 15 * time.Second
-	// usageEvery is the interval of usages while a customer is served often, which also
-	// tell the home that the host is there.
-	usageEvery = 700 * time.Millisecond
-	// oftenUse is the use, in requests a second, from which on usages go out by
-	// themselves. Below it a request tells of itself by its question, which costs fewer
-	// messages.
-	oftenUse = 1.0
-	// creditLife is how long a credit may be spent: two usages, so that one may be lost.
-	creditLife = 1500 * time.Millisecond
-	// silentAfter is when a home takes a host that serves the customer for one that it
-	// does not hear.
-	silentAfter = 1600 * time.Millisecond
-	// keptFor is for how long after it was last heard a host's part is kept back, and for
-	// how long the host itself goes on at that part. Longer withholds the part of hosts
-	// that are gone for good; a cut that lasts longer leaves each side more than its part.
-	keptFor = time.Minute
-	// questionTimeout is when a question without an answer is repeated, and then given
-	// up: an answer takes 1 to 5 ms, more on a busy host.
-	questionTimeout = 60 * time.Millisecond
-	questionTries   = 2
-	// probeEvery is the interval of usages to a home that does not answer.
-	probeEvery = 250 * time.Millisecond
-	// unheardShare is the part of the limit that hosts which do not hear the home may use
-	// beyond their part, all together: for customers that come to a host anew.
-	unheardShare = 0.05
-	// assumedHosts is how many hosts there are, to a host that does not know yet.
-	assumedHosts = 32
-	// youngBucket is how full the bucket of a new home is, which does not know what was
-	// spent before.
-	youngBucket = 0.5
-	// steadyFor without a change of hosts makes sure that no other host was a customer's
-	// home within the users' windows of some seconds.
-	steadyFor = 6 * time.Second
-	// youngFor is how long a new home takes hosts' word for their parts at an earlier one.
-	youngFor = 3 * time.Second
-	// wholeFleet is the part of the hosts whose presence counts as that of all.
-	wholeFleet = 0.95
-	// creditsAbove is the filling of the bucket above which credits are given, and
-	// creditShare the part of its tokens that may lie on hosts as credits.
-	creditsAbove = 0.5
-	creditShare  = 0.25
-	// leastPause is the least time for which a refused host need not ask.
-	leastPause = 10 * time.Millisecond
-	// mostRetryAfter bounds what a refused caller is told.
-	mostRetryAfter = 10 * time.Second
-	// smallestBurst is the least capacity of a bucket in seconds of its rate: requests do
-	// not come at even distances.
-	smallestBurst = 0.1
+	// rateWindow is the averaging window of a host's request rate. A shorter window is noisier,
+	// and partitions divide the limit by this rate; a longer one is slow to follow a customer
+	// that moves to other hosts.
+	rateWindow = 15 * time.Second
+	// usageInterval is the interval of usage reports for a customer with frequent requests.
+	// They also show the home that the host is alive.
+	usageInterval = 700 * time.Millisecond
+	// frequentRate is the rate, in requests a second, from which on usage is reported
+	// periodically. Below it the token requests carry the usage, which takes fewer messages.
+	frequentRate = 1.0
+	// creditTTL is the lifetime of a credit: two usage intervals, so that one report may be lost.
+	creditTTL = 1500 * time.Millisecond
+	// silenceTimeout is how long after its last usage report a home considers a host that
+	// serves the customer silent.
+	silenceTimeout = 1600 * time.Millisecond
+	// shareRetention is for how long after its last usage report a host's share is reserved,
+	// and for how long the host itself continues with that share. A longer time withholds the
+	// shares of hosts that are permanently gone; in a partition that lasts longer than this,
+	// each side exceeds its share.
+	shareRetention = time.Minute
+	// requestTimeout is the time after which an unanswered token request is repeated, and
+	// after maxRequestAttempts given up. An answer takes 1 to 5 ms, more on a busy host.
+	requestTimeout     = 60 * time.Millisecond
+	maxRequestAttempts = 2
+	// probeInterval is the interval of usage reports to a home that does not answer.
+	probeInterval = 250 * time.Millisecond
+	// fallbackReserve is the share of the limit that hosts which cannot reach the home may
+	// together use beyond their own shares, for customers that are new to a host.
+	fallbackReserve = 0.05
+	// assumedFleetSize is the fleet size that a host assumes before it knows the other hosts.
+	assumedFleetSize = 32
+	// newHomeFill is the initial fill level of the bucket at a new home, which does not know
+	// what was spent before.
+	newHomeFill = 0.5
+	// stablePeriod is how long the list of hosts must be unchanged to ensure that no other host
+	// was a customer's home within the last few seconds, the windows of the hosts that serve it.
+	stablePeriod = 6 * time.Second
+	// handoverPeriod is how long a new home accepts the shares that hosts report from an
+	// earlier home.
+	handoverPeriod = 3 * time.Second
+	// completeFleet is the fraction of reachable hosts that counts as the whole fleet.
+	completeFleet = 0.95
+	// creditThreshold is the fill level of the bucket above which credits are granted, and
+	// creditShare the fraction of its tokens that may be outstanding as credits.
+	creditThreshold = 0.5
+	creditShare     = 0.25
+	// minBackoff is the shortest time for which a refused host sends no token request.
+	minBackoff = 10 * time.Millisecond
+	// maxRetryAfter is the longest retry delay given to a refused caller.
+	maxRetryAfter = 10 * time.Second
+	// minBurstSeconds is the minimum capacity of a bucket, in seconds of its rate: requests do
+	// not arrive at even intervals.
+	minBurstSeconds = 0.1
 )
 
-// Rule is in what tables differ.
+// Rule holds the parameters in which tables differ.
 type Rule struct {
-	// LeastAlone is the least capacity, in requests, of a host that does not hear the home
-	// and goes on alone at its part. Larger serves the requests of a few callers, which come
-	// unevenly; a limit of few requests breaks where many hosts go on alone.
-	LeastAlone float64
-	// SavesAlone is whether a host that begins to go on alone may spend what its part
-	// brought while the home was heard.
-	SavesAlone bool
-	// EqualParts gives each host that does not hear the home an equal part, in place of one by
-	// what it let through lately. Parts by use give more to callers of hosts that are cut
-	// off; of a limit of few requests hosts ask too seldom to know theirs, and the parts
-	// that they remember add up to more than the limit.
-	EqualParts bool
-	// MostPause bounds the time for which a refused host need not ask. Longer saves
-	// questions where many hosts share few tokens; tokens then wait for who may ask.
-	MostPause time.Duration
-}
-
-// CustomerRule is for customers' limits, of tens of requests a second.
+	// MinFallbackBurst is the minimum bucket capacity, in requests, of a host that cannot reach
+	// the home. A larger value serves the uneven requests of a few callers; with a limit of
+	// few requests a second, many hosts in fallback would exceed the limit.
+	MinFallbackBurst float64
+	// AccruesFallback lets a host that enters fallback spend the tokens that its share
+	// accrued while the home was reachable.
+	AccruesFallback bool
+	// EqualShares gives each host that cannot reach the home an equal share instead of one by
+	// its recent rate. Shares by rate serve callers of separated hosts better. With a limit of
+	// few requests a second, hosts request tokens too seldom to know their shares, and the
+	// shares that they remember add up to more than the limit.
+	EqualShares bool
+	// MaxBackoff is the longest time for which a refused host sends no token request. A longer
+	// time saves messages where many hosts compete for few tokens, but leaves tokens unused
+	// until a host may ask again.
+	MaxBackoff time.Duration
+}
+
+// CustomerRule returns the rule for customers' limits, which are tens of requests a second.
 func CustomerRule() Rule {
-	return Rule{LeastAlone: 3, SavesAlone: true, MostPause: 500 * time.Millisecond}
+	return Rule{MinFallbackBurst: 3, AccruesFallback: true, MaxBackoff: 500 * time.Millisecond}
 }
 
-// ServerRule is for the rate limits of backend servers, of a few requests a second.
-func ServerRule() Rule { return Rule{LeastAlone: 1, EqualParts: true, MostPause: time.Second} }
+// ServerRule returns the rule for the rate limits of backend servers, which are a few requests
+// a second.
+func ServerRule() Rule { return Rule{MinFallbackBurst: 1, EqualShares: true, MaxBackoff: time.Second} }
 
-// Fleet is what a host knows of all hosts.
+// Fleet is a host's knowledge of the other hosts.
 type Fleet struct {
-	// Version grows with every change.
+	// Version increases with every change.
 	Version uint64
-	// Homes are the hosts that may be a customer's home, this one included.
+	// Homes are the hosts that may be the home of a customer, this one included.
 	Homes []rendezvous.Node
-	// Live reports whether membership holds a host for reachable.
+	// Live reports whether membership considers a host reachable.
 	Live func(host string) bool
-	// Size is the largest number of hosts that were live at a time.
+	// Size is the largest number of hosts that have been live at the same time.
 	Size int
-	// Settled is whether this host has had time to hear of the others.
+	// Settled reports whether this host has had time to learn of the others.
 	Settled bool
 }
 
-// reachable is the part of all hosts that this one hears.
-func (f *Fleet) reachable() float64 { return float64(len(f.Homes)) / float64(max(f.Size, 1)) }
+// reachableShare returns the fraction of all hosts that this one can reach.
+func (f *Fleet) reachableShare() float64 { return float64(len(f.Homes)) / float64(max(f.Size, 1)) }
 
-// Verdict is the decision on one request.
+// Verdict is the decision on a request.
 type Verdict struct {
 	OK bool
-	// RetryAfter is when a refused request may come back.
+	// RetryAfter is the time after which the caller of a refused request may retry.
 	RetryAfter time.Duration
-	// AskAgain is for how long this host need not ask for another request.
+	// AskAgain is the time for which this host need not ask for another request.
 	AskAgain time.Duration
 }
 
-// Message is what this host has to tell another one.
+// Message is a message from this host to another.
 type Message struct {
-	To     string // host name
+	To     string // name of the host
 	Usages []*peerpb.CustomerUsage
 	Grants []*peerpb.CustomerGrant
 }
 
-// Table is one host's side of all customers' limits: as a host that serves them, and as
-// the home of some. It is not safe for concurrent use.
+// Table holds one host's state of all limits: of the customers that it serves, and of those
+// whose home it is. It is not safe for concurrent use.
 type Table struct {
 	self  string
 	rule  Rule
 	fleet Fleet
-	// limits returns a customer's limit by this host's configuration.
+	// limits returns a customer's limit in this host's configuration.
 	limits func(name string) (customer.Limit, bool)
 
-	// changedAt is when the homes last changed.
-	changedAt time.Time
+	// fleetChangedAt is the time of the last change of the fleet.
+	fleetChangedAt time.Time
 
-	served map[string]*served
-	order  []*served // as they came
-	homes  map[string]*home
-	out    []Message
-	asks   uint64
-	due    wakeup.Next
+	customers     map[string]*customerState
+	ordered       []*customerState // in order of their first request, for deterministic iteration
+	homes         map[string]*home
+	outbox        []Message
+	lastRequestID uint64
+	nextTick      wakeup.Next
 }
 
-// NewTable returns the table of a host. limits is asked by homes, whose own configuration
-// counts.
+// NewTable returns the table of a host. A home enforces the limit that limits returns, from its
+// own configuration.
 func NewTable(self string, rule Rule, limits func(name string) (customer.Limit, bool)) *Table {
 	return &Table{
-		self:   self,
-		rule:   rule,
-		fleet:  Fleet{Homes: []rendezvous.Node{rendezvous.NewNode(self, "")}, Size: 1, Live: func(string) bool { return true }},
-		limits: limits,
-		served: make(map[string]*served),
-		homes:  make(map[string]*home),
+		self:      self,
+		rule:      rule,
+		fleet:     Fleet{Homes: []rendezvous.Node{rendezvous.NewNode(self, "")}, Size: 1, Live: func(string) bool { return true }},
+		limits:    limits,
+		customers: make(map[string]*customerState),
+		homes:     make(map[string]*home),
 	}
 }
 
-// SetFleet tells of the hosts that are live now.
+// SetFleet sets the hosts that are live now.
 func (t *Table) SetFleet(now time.Time, fleet Fleet) {
 	if fleet.Version != t.fleet.Version || !t.fleet.Settled {
-		t.changedAt = now
+		t.fleetChangedAt = now
 	}
 	t.fleet = fleet
 }
 
-// Due is when Tick must be called at the latest, zero for never.
-func (t *Table) Due() time.Time { return t.due.Time() }
+// Due returns the latest time for the next call of Tick, zero for none.
+func (t *Table) Due() time.Time { return t.nextTick.Time() }
 
-// Messages returns what is to be sent, and forgets it.
+// Messages returns the messages to be sent and removes them from the table.
 func (t *Table) Messages() []Message {
-	out := t.out
-	t.out = nil
+	out := t.outbox
+	t.outbox = nil
 	return out
 }
 
-// capacity is how many tokens a bucket holds.
+// capacity returns the number of tokens that a bucket holds.
 func capacity(limit customer.Limit) float64 {
-	return math.Max(math.Max(limit.Burst, smallestBurst*limit.PerSecond), 1)
+	return math.Max(math.Max(limit.Burst, minBurstSeconds*limit.PerSecond), 1)
 }
 
-// meter measures a rate over useWindow, in events a second.
+// meter measures a rate in events a second, averaged exponentially over rateWindow.
 type meter struct {
 	value float64
 	at    time.Time
 }
 
 func (m *meter) add(now time.Time, n float64) {
-	m.value = m.rate(now) + n/useWindow.Seconds()
+	m.value = m.rate(now) + n/rateWindow.Seconds()
 	m.at = now
 }
 
@@ -209,16 +216,17 @@
 	if m.at.IsZero() {
 		return 0
 	}
-	return m.value * math.Exp(-now.Sub(m.at).Seconds()/useWindow.Seconds())
+	return m.value * math.Exp(-now.Sub(m.at).Seconds()/rateWindow.Seconds())
 }
 
-// bucket is a token bucket whose rate and size may change.
+// bucket is a token bucket of variable rate and size.
 type bucket struct {
 	tokens float64
 	at     time.Time
 }
 
-// refill adds what came since the last look. Debts are kept, also beyond the size.
+// refill adds the tokens accrued since the last call. A negative balance is kept, even one
+// larger than size.
 func (b *bucket) refill(now time.Time, perSecond, size float64) {
 	if elapsed := now.Sub(b.at).Seconds(); elapsed > 0 {
 		b.tokens += elapsed * perSecond
@@ -235,4 +243,4 @@
 	return true
 }
 
-func inSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/quota/row.go
+++ b/internal/quota/row.go
@@ -8,38 +8,38 @@
 	"github.com/pearshelf/pearshelf/internal/customer"
 )
 
-// Row is what this host knows of one customer that it serves.
+// Row is the status of a customer that this host serves.
 type Row struct {
 	Customer string
 	Limit    customer.Limit
-	// Use is what this host lets through, in requests a second, and Part of the limit what
-	// the home gives it, 0 if unknown.
+	// Use is the rate of requests that this host lets through, in requests a second, and Part
+	// its share of the limit as granted by the home, 0 if unknown.
 	Use  float64
 	Part float64
-	// Allowed and Refused count requests of this host since its start.
+	// Allowed and Refused count requests at this host since its start.
 	Allowed, Refused uint64
 	Home             string
-	// Heard is how long ago the home was heard, Unheard whether it does not answer now.
+	// Heard is the time since the home last answered, and Unheard whether it fails to answer.
 	Heard   time.Duration
 	Unheard bool
 }
 
-// Rows returns the customers that this host serves, the busiest first.
+// Rows returns the status of the customers that this host serves, by descending request rate.
 func (t *Table) Rows(now time.Time) []Row {
-	rows := make([]Row, 0, len(t.served))
-	for _, s := range t.served {
+	rows := make([]Row, 0, len(t.customers))
+	for _, s := range t.customers {
 		row := Row{
 			Customer: s.name,
 			Limit:    s.limit,
-			Use:      s.use.rate(now),
-			Part:     s.part,
+			Use:      s.meter.rate(now),
+			Part:     s.share,
 			Allowed:  s.allowedTotal,
 			Refused:  s.refusedTotal,
 			Home:     s.home,
-			Unheard:  s.unheard,
+			Unheard:  s.homeUnreachable,
 		}
-		if !s.heardAt.IsZero() {
-			row.Heard = now.Sub(s.heardAt)
+		if !s.lastGrantAt.IsZero() {
+			row.Heard = now.Sub(s.lastGrantAt)
 		}
 		rows = append(rows, row)
 	}
--- a/internal/quota/served.go
+++ b/internal/quota/served.go
@@ -9,112 +9,114 @@
 	"github.com/pearshelf/pearshelf/internal/rendezvous"
 )
 
-// served is a customer as a host that serves it knows it.
-type served struct {
+// customerState is the state of a customer at a host that serves it.
+type customerState struct {
 	name  string
 	limit customer.Limit
-	// home by the fleet of homeVersion, and the number of its term.
-	home        string
-	homeVersion uint64
-	term        uint64
+	// home as of fleetVersion; term counts changes of the home.
+	home         string
+	fleetVersion uint64
+	term         uint64
 
-	use         meter
+	meter       meter
 	lastRequest time.Time
 	// allowedTotal and refusedTotal count requests.
 	allowedTotal, refusedTotal uint64
-	spent                      uint64 // of the home's credits, in this term
+	spent                      uint64 // credits spent in term
 	credit                     float64
 	creditUntil                time.Time
-	returned                   int // allowed, but not sent
+	returned                   int // tokens of requests that were allowed but not sent
 	returnedUntil              time.Time
-	usageAt                    time.Time // the next usage, zero for none
+	nextUsageAt                time.Time // next usage report, zero for none
 
-	// question under way, ask 0 for none.
-	ask      uint64
-	askedAt  time.Time
-	askTries int
-	wanted   int
-	waiting  []func(Verdict)
+	// requestID identifies the token request in progress, 0 for none.
+	requestID   uint64
+	requestedAt time.Time
+	attempts    int
+	wanted      int
+	waiting     []func(Verdict)
 
-	// pausedUntil is when another question makes sense, turn the time between two tokens
-	// for this host, promised when the last refused caller was told to come back.
-	pausedUntil time.Time
-	turn        time.Duration
-	promised    time.Time
+	// backoffUntil is the earliest time for another token request, tokenInterval the time
+	// between two tokens for this host, and lastRetryAt the time at which the last refused
+	// caller was told to retry.
+	backoffUntil  time.Time
+	tokenInterval time.Duration
+	lastRetryAt   time.Time
 
-	// unheard is set while the home does not answer. part is this host's part of the limit
-	// as the home last told it.
-	unheard bool
-	part    float64
-	heardAt time.Time
-	alone   bucket // what is spent while the home is not heard
+	// homeUnreachable is set while the home does not answer. share is this host's share of the
+	// limit in the last grant.
+	homeUnreachable bool
+	share           float64
+	lastGrantAt     time.Time
+	fallback        bucket // spent while the home is unreachable
 }
 
-// Take asks for one request of a customer. It returns the verdict, or false if the home
-// has to be asked first: then done is called with it later.
+// Take decides on one request of a customer. If the home has to be asked first, it returns
+// false and calls done with the verdict later.
 func (t *Table) Take(now time.Time, name string, limit customer.Limit, done func(Verdict)) (Verdict, bool) {
-	s := t.servedCustomer(now, name, limit)
+	s := t.stateOf(now, name, limit)
 	s.lastRequest = now
 	switch {
-	case !t.fleet.Settled: // homes are not known yet
-		return t.takeAlone(now, s), true
+	case !t.fleet.Settled: // homes are not yet known
+		return t.takeFallback(now, s), true
 	case s.takeReturned(now):
-		return s.allowed(now), true
+		return s.allow(now), true
 	case s.home == t.self:
-		return t.takeAtHome(now, s), true
+		return t.takeAsHome(now, s), true
 	case s.takeCredit(now):
-		return s.allowed(now), true
-	case now.Before(s.pausedUntil):
-		return s.refused(now), true
-	case s.unheard:
-		return t.takeAlone(now, s), true
+		return s.allow(now), true
+	case now.Before(s.backoffUntil):
+		return s.refuse(now), true
+	case s.homeUnreachable:
+		return t.takeFallback(now, s), true
 	}
 	s.waiting = append(s.waiting, done)
-	if s.ask == 0 {
-		t.question(now, s)
+	if s.requestID == 0 {
+		t.requestTokens(now, s)
 	}
 	return Verdict{}, false
 }
 
-func (t *Table) servedCustomer(now time.Time, name string, limit customer.Limit) *served {
-	s, ok := t.served[name]
+// stateOf returns the state of a customer that this host serves, and creates it if absent.
+func (t *Table) stateOf(now time.Time, name string, limit customer.Limit) *customerState {
+	s, ok := t.customers[name]
 	if !ok {
-		s = &served{name: name, alone: bucket{at: now}}
-		if t.rule.SavesAlone {
-			s.alone.tokens = t.rule.LeastAlone
+		s = &customerState{name: name, fallback: bucket{at: now}}
+		if t.rule.AccruesFallback {
+			s.fallback.tokens = t.rule.MinFallbackBurst
 		}
-		t.served[name] = s
-		t.order = append(t.order, s)
+		t.customers[name] = s
+		t.ordered = append(t.ordered, s)
 	}
 	s.limit = limit
-	if s.home == "" || s.homeVersion != t.fleet.Version {
-		t.findHome(s)
+	if s.home == "" || s.fleetVersion != t.fleet.Version {
+		t.updateHome(s)
 	}
-	if s.usageAt.IsZero() && s.isOften(now) {
-		s.usageAt = now.Add(usageEvery)
-		t.due.Add(s.usageAt)
+	if s.nextUsageAt.IsZero() && s.isFrequent(now) {
+		s.nextUsageAt = now.Add(usageInterval)
+		t.nextTick.Add(s.nextUsageAt)
 	}
 	return s
 }
 
-// isOften reports whether usages go out by themselves.
-func (s *served) isOften(now time.Time) bool {
-	return s.use.rate(now) >= oftenUse && now.Sub(s.lastRequest) <= 2*usageEvery
+// isFrequent reports whether usage is reported periodically.
+func (s *customerState) isFrequent(now time.Time) bool {
+	return s.meter.rate(now) >= frequentRate && now.Sub(s.lastRequest) <= 2*usageInterval
 }
 
-// findHome asks the fleet who the customer's home is now.
-func (t *Table) findHome(s *served) {
-	s.homeVersion = t.fleet.Version
+// updateHome determines the customer's home in the current fleet.
+func (t *Table) updateHome(s *customerState) {
+	s.fleetVersion = t.fleet.Version
 	if home := t.homeName(s.name); home != s.home {
 		s.home = home
 		s.term++
 		s.spent, s.credit = 0, 0
-		s.unheard = false
-		s.pausedUntil = time.Time{}
+		s.homeUnreachable = false
+		s.backoffUntil = time.Time{}
 	}
 }
 
-// homeName is the customer's home by this host's list of hosts.
+// homeName returns the customer's home by this host's list of hosts.
 func (t *Table) homeName(customer string) string {
 	if top := rendezvous.Top(customer, t.fleet.Homes, 1); len(top) > 0 {
 		return top[0]
@@ -122,55 +124,55 @@
 	return t.self
 }
 
-// takeAtHome decides where this host is the home itself.
-func (t *Table) takeAtHome(now time.Time, s *served) Verdict {
-	h := t.homeOf(now, s.name, s.limit)
-	u, made := h.user(t.self, 0)
+// takeAsHome decides on a request at the customer's home itself.
+func (t *Table) takeAsHome(now time.Time, s *customerState) Verdict {
+	h := t.homeFor(now, s.name, s.limit)
+	u, made := h.hostUsage(t.self, 0)
 	if made {
-		h.inherit(now, u, s.part, now.Sub(s.heardAt))
+		h.inherit(now, u, s.share, now.Sub(s.lastGrantAt))
 	}
-	u.use, u.heard = s.use.rate(now), now
-	if u.part == 0 || now.Sub(h.since) < youngFor {
-		t.look(now, h)
+	u.rate, u.lastHeard = s.meter.rate(now), now
+	if u.share == 0 || now.Sub(h.since) < handoverPeriod {
+		t.refreshShares(now, h)
 	}
-	s.heard(now, u.part)
+	s.noteGrant(now, u.share)
 	if h.take() {
-		return s.allowed(now)
+		return s.allow(now)
 	}
-	t.pause(now, s, h.pause(now, u, t.rule.MostPause))
-	return s.refused(now)
+	t.backOff(now, s, h.backOff(now, u, t.rule.MaxBackoff))
+	return s.refuse(now)
 }
 
-// takeAlone decides where the home is not heard: from this host's part of the limit, by
-// what it let through before, and a little for customers that come anew.
-func (t *Table) takeAlone(now time.Time, s *served) Verdict {
-	part := t.partAlone(now, s)
+// takeFallback decides on a request while the home is unreachable, from this host's share of the
+// limit and a small reserve for customers that are new to this host.
+func (t *Table) takeFallback(now time.Time, s *customerState) Verdict {
+	share := t.fallbackShare(now, s)
 	size := 1.0
-	if s.part > 0 || !t.fleet.Settled {
-		size = t.rule.LeastAlone
+	if s.share > 0 || !t.fleet.Settled {
+		size = t.rule.MinFallbackBurst
 	}
-	s.alone.refill(now, s.limit.PerSecond*part, math.Max(capacity(s.limit)*part, size))
-	if s.alone.take() {
-		return s.allowed(now)
+	s.fallback.refill(now, s.limit.PerSecond*share, math.Max(capacity(s.limit)*share, size))
+	if s.fallback.take() {
+		return s.allow(now)
 	}
-	t.pause(now, s, inSeconds(1/math.Max(s.limit.PerSecond*part, 0.01)))
-	verdict := s.refused(now)
-	s.pausedUntil = time.Time{} // the bucket is asked each time
+	t.backOff(now, s, secondsToDuration(1/math.Max(s.limit.PerSecond*share, 0.01)))
+	verdict := s.refuse(now)
+	s.backoffUntil = time.Time{} // every request checks the bucket
 	return verdict
 }
 
-func (t *Table) partAlone(now time.Time, s *served) float64 {
+func (t *Table) fallbackShare(now time.Time, s *customerState) float64 {
 	hosts := float64(t.fleet.Size)
 	if !t.fleet.Settled {
-		hosts = math.Max(hosts, assumedHosts)
+		hosts = math.Max(hosts, assumedFleetSize)
 	}
-	if t.rule.EqualParts || s.part == 0 || now.Sub(s.heardAt) >= keptFor {
+	if t.rule.EqualShares || s.share == 0 || now.Sub(s.lastGrantAt) >= shareRetention {
 		return 1 / hosts
 	}
-	return math.Min(s.part+unheardShare/hosts, 1)
+	return math.Min(s.share+fallbackReserve/hosts, 1)
 }
 
-func (s *served) takeCredit(now time.Time) bool {
+func (s *customerState) takeCredit(now time.Time) bool {
 	if s.credit < 1 || !now.Before(s.creditUntil) {
 		return false
 	}
@@ -179,10 +181,10 @@
 	return true
 }
 
-// Return gives back what a request was allowed that was not sent after all. The next request
-// of this host may have it, for as long as a credit.
+// Return gives back the token of a request that was allowed but not sent. The next request at
+// this host may use it within creditTTL.
 func (t *Table) Return(now time.Time, name string) {
-	s, ok := t.served[name]
+	s, ok := t.customers[name]
 	if !ok {
 		return
 	}
@@ -190,13 +192,13 @@
 		s.returned = 0
 	}
 	s.returned++
-	s.returnedUntil = now.Add(creditLife)
-	s.use.add(now, -1)
+	s.returnedUntil = now.Add(creditTTL)
+	s.meter.add(now, -1)
 	s.allowedTotal--
-	s.pausedUntil = time.Time{}
+	s.backoffUntil = time.Time{}
 }
 
-func (s *served) takeReturned(now time.Time) bool {
+func (s *customerState) takeReturned(now time.Time) bool {
 	if s.returned == 0 || now.After(s.returnedUntil) {
 		return false
 	}
@@ -204,103 +206,105 @@
 	return true
 }
 
-// Promise is when a request may come back that any of these customers would do for, and was
-// refused without asking for one. It counts as told, so that the next is told a later time.
+// Promise returns when a request may be retried that any of the named customers could serve and
+// that was refused without a call of Take. The time counts as given out: the next caller gets a
+// later one.
 func (t *Table) Promise(now time.Time, names []string) time.Duration {
-	var first *served
+	var first *customerState
 	for _, name := range names {
-		if s, ok := t.served[name]; ok && (first == nil || s.nextTurn(now).Before(first.nextTurn(now))) {
+		if s, ok := t.customers[name]; ok && (first == nil || s.nextRetryAt(now).Before(first.nextRetryAt(now))) {
 			first = s
 		}
 	}
 	if first == nil {
 		return 0
 	}
-	return first.refused(now).RetryAfter
+	return first.refuse(now).RetryAfter
 }
 
-func (s *served) allowed(now time.Time) Verdict {
-	s.use.add(now, 1)
+func (s *customerState) allow(now time.Time) Verdict {
+	s.meter.add(now, 1)
 	s.allowedTotal++
 	return Verdict{OK: true}
 }
 
-// refused tells a caller when to come back: one after another, at the rate at which
-// tokens come to this host.
-func (s *served) refused(now time.Time) Verdict {
-	at := s.nextTurn(now)
-	s.promised = at
+// refuse assigns a retry time to a refused caller. Retry times are spaced at the rate at which
+// this host receives tokens.
+func (s *customerState) refuse(now time.Time) Verdict {
+	at := s.nextRetryAt(now)
+	s.lastRetryAt = at
 	s.refusedTotal++
-	return Verdict{RetryAfter: min(at.Sub(now), mostRetryAfter), AskAgain: s.pausedUntil.Sub(now)}
+	return Verdict{RetryAfter: min(at.Sub(now), maxRetryAfter), AskAgain: s.backoffUntil.Sub(now)}
 }
 
-// nextTurn is when the next refused caller may come back.
-func (s *served) nextTurn(now time.Time) time.Time {
-	turn := max(s.turn, leastPause)
-	at := now.Add(turn)
-	if s.promised.After(now) {
-		at = s.promised.Add(turn)
+// nextRetryAt returns the retry time for the next refused caller.
+func (s *customerState) nextRetryAt(now time.Time) time.Time {
+	interval := max(s.tokenInterval, minBackoff)
+	at := now.Add(interval)
+	if s.lastRetryAt.After(now) {
+		at = s.lastRetryAt.Add(interval)
 	}
-	if s.pausedUntil.After(at) {
-		at = s.pausedUntil
+	if s.backoffUntil.After(at) {
+		at = s.backoffUntil
 	}
 	return at
 }
 
-func (t *Table) pause(now time.Time, s *served, turn time.Duration) {
-	s.turn = turn
-	s.pausedUntil = now.Add(min(turn, t.rule.MostPause))
+// backOff suspends token requests for the interval, at most for MaxBackoff.
+func (t *Table) backOff(now time.Time, s *customerState, interval time.Duration) {
+	s.tokenInterval = interval
+	s.backoffUntil = now.Add(min(interval, t.rule.MaxBackoff))
 }
 
-// Tick does what the time calls for, and sets when it is due again.
+// Tick does the work that is due and schedules the next call.
 func (t *Table) Tick(now time.Time) {
-	t.due.Reset()
-	for _, s := range t.order {
-		t.tickServed(now, s)
-		t.due.Add(s.usageAt)
-		t.due.Add(s.questionDue())
+	t.nextTick.Reset()
+	for _, s := range t.ordered {
+		t.tickCustomer(now, s)
+		t.nextTick.Add(s.nextUsageAt)
+		t.nextTick.Add(s.requestDeadline())
 	}
 	t.forget(now)
 }
 
-func (s *served) questionDue() time.Time {
-	if s.ask == 0 {
+func (s *customerState) requestDeadline() time.Time {
+	if s.requestID == 0 {
 		return time.Time{}
 	}
-	return s.askedAt.Add(questionTimeout)
+	return s.requestedAt.Add(requestTimeout)
 }
 
-func (t *Table) tickServed(now time.Time, s *served) {
-	if s.homeVersion != t.fleet.Version {
-		t.findHome(s)
+func (t *Table) tickCustomer(now time.Time, s *customerState) {
+	if s.fleetVersion != t.fleet.Version {
+		t.updateHome(s)
 	}
-	if s.ask != 0 && !now.Before(s.questionDue()) {
-		t.repeatQuestion(now, s)
+	if s.requestID != 0 && !now.Before(s.requestDeadline()) {
+		t.retryRequest(now, s)
 	}
-	if s.usageAt.IsZero() || now.Before(s.usageAt) {
+	if s.nextUsageAt.IsZero() || now.Before(s.nextUsageAt) {
 		return
 	}
-	s.usageAt = time.Time{}
+	s.nextUsageAt = time.Time{}
 	if s.home == t.self {
 		return
 	}
-	t.tell(now, s) // the last one says that it is the last
-	if s.unheard && now.Sub(s.lastRequest) <= keptFor {
-		s.usageAt = now.Add(probeEvery)
+	t.sendUsage(now, s) // the last report carries Again unset
+	if s.homeUnreachable && now.Sub(s.lastRequest) <= shareRetention {
+		s.nextUsageAt = now.Add(probeInterval)
 	}
 }
 
-// forget drops customers that nobody has asked for long, here and as their home.
+// forget removes customers without recent requests, both those served and those homed here.
 func (t *Table) forget(now time.Time) {
-	t.order = slices.DeleteFunc(t.order, func(s *served) bool {
-		gone := now.Sub(s.lastRequest) > keptFor
-		if gone {
-			delete(t.served, s.name)
+	t.ordered = slices.DeleteFunc(t.ordered, func(s *customerState) bool {
+		expired := now.Sub(s.lastRequest) > shareRetention
+		if expired {
+			delete(t.customers, s.name)
 		}
-		return gone
+		return expired
 	})
 	for name, h := range t.homes {
-		if now.Sub(h.at) > keptFor {
+		if now.Sub(h.at) > shareRetention {
 			delete(t.homes, name)
 		}
 	}
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -145,14 +145,14 @@
 mutant "unused token goes back" internal/dispatch/send.go 's/		x.returnToken(token)/		_ = token/' ./platform -run UnusedToken
 mutant "copies spare limited servers" internal/policy/copies.go 's/if r.Beside .*/if false {/' ./internal/policy -run Spared
 mutant "limited servers cost more" internal/policy/pick.go 's/if req.isLimited(b) {/if false {/' ./internal/policy -run Spared
-mutant "equal parts of small limits" internal/quota/quota.go 's/EqualParts: true, //' ./internal/quota -run Remember
-mutant "nothing saved for going on alone" internal/quota/question.go 's/if !s.unheard \&\& !t.rule.SavesAlone {/if false {/' ./internal/quota -run GoOnAlone
+mutant "equal shares of small limits" internal/quota/quota.go 's/EqualShares: true, //' ./internal/quota -run Remember
+mutant "no tokens accrued for fallback" internal/quota/request.go 's/if !s.homeUnreachable \&\& !t.rule.AccruesFallback {/if false {/' ./internal/quota -run FallbackDoesNotExceed
 mutant "a later answer ends a limit" internal/ratelimit/listener.go 's/isLater := .*/isLater := true/' ./internal/ratelimit
 mutant "limits of one process" internal/ratelimit/ratelimit.go 's/if !known || server.IsNewerThan(held.Server) {/if !known {/' ./internal/ratelimit
 mutant "limits are renewed" internal/ratelimit/listener.go 's|held.Until.Sub(now) < heldFor/2|false|' ./internal/ratelimit
 mutant "a limit told to all hosts" internal/daemon/ratelimit.go 's/	r.d.engine.Write(now, register)/	_ = register/' ./platform -run AllHostsKnow
-mutant "parts are kept back" internal/quota/part.go 's/kept += u.part/kept += 0/' ./internal/quota
-mutant "repeated question" internal/quota/home.go 's/told.Ask != 0 \&\& told.Ask == u.ask/false/' ./internal/quota
+mutant "shares are reserved" internal/quota/share.go 's/reserved += u.share/reserved += 0/' ./internal/quota
+mutant "repeated token request" internal/quota/home.go 's/usage.Ask != 0 \&\& usage.Ask == u.requestID/false/' ./internal/quota
 mutant "trials" internal/policy/trial.go 's/^	return now.Sub(s.lastSent) > trialEvery.*/	return false/' ./experiment/replay -run TestTrials
 mutant "restart under the same ID" internal/policy/table.go 's/again := s.started != 0/again := false/' ./internal/policy
 mutant "entries of other writers" platform/configuration.go 's/if \*r.State != stateReady \&\& \*r.State != stateDraining {/if false {/' ./platform -run TestEntries
