--- a/internal/ratelimit/cold.go
+++ b/internal/ratelimit/cold.go
@@ -6,20 +6,21 @@
 	"github.com/pearshelf/pearshelf/internal/process"
 )
 
-// A server that has just started, or has become cold again, takes few requests a second from
-// all hosts together and ends if it gets many more. That is a rate limit like one that a server
-// names, but every host knows it from the list of servers and when it is over.
+// A server that has just started, or has become cold again, takes few requests a second
+// from all hosts together, and terminates if it gets many more. This is enforced like a rate limit that
+// the server announces, but hosts need no report of it: each derives it, and when it ends, from the
+// list of servers.
 
-// Cold is a server that takes few requests for a time.
+// Cold is a server with a low rate limit during warm-up.
 type Cold struct {
 	Server process.Server
-	// PerSecond is the requests a second that it takes from all hosts together.
+	// PerSecond is the rate limit over all hosts together, in requests a second.
 	PerSecond float64
-	// Until is when the time is over.
+	// Until is the end of the warm-up.
 	Until time.Time
 }
 
-// WithCold returns the view with the limits of cold servers in place of those that it had.
+// WithCold returns a copy of the view in which cold replaces the limits of cold servers.
 func (v *View) WithCold(cold []Cold) *View {
 	next := &View{cold: make(map[process.Key]Limit, len(cold))}
 	if v != nil {
--- a/internal/ratelimit/listener.go
+++ b/internal/ratelimit/listener.go
@@ -8,61 +8,61 @@
 	"github.com/pearshelf/pearshelf/internal/protocol"
 )
 
-// Kind is what is new in a report.
+// Kind is the kind of a change that a report announces.
 type Kind int
 
-// Kinds of reports.
+// Kinds of changes.
 const (
-	// Began: the server had no limit.
+	// Began: the server had no limit before.
 	Began Kind = iota
-	// Changed: it had another one.
+	// Changed: the server's limit has a new value.
 	Changed
-	// Repeated: it still has it, and would soon be forgotten.
+	// Repeated: the limit is unchanged and is renewed before it expires.
 	Repeated
-	// Ended: the server names no limit any more.
+	// Ended: the server no longer announces a limit.
 	Ended
 )
 
-// Report is something that all hosts must be told of a server's limit.
+// Report is a change of a server's limit that all hosts must learn of.
 type Report struct {
 	Kind      Kind
 	Server    process.Server
 	PerSecond float64
-	// Before is the limit that was held, in requests a second; for Changed and Ended.
+	// Before is the previous limit in requests a second, for Changed and Ended.
 	Before float64
-	// Since is when a host first heard of a limit of the server.
+	// Since is when a host first learned that the server has a limit.
 	Since time.Time
 }
 
 const (
-	// onItsWay is for how long a report that was told is not told again while the view
-	// does not have it yet.
-	onItsWay = 300 * time.Millisecond
-	// maxRemembered bounds what a listener remembers of reports and of values that cannot be read.
-	maxRemembered = 1024
+	// propagationTime is how long a report is not repeated while the view does not include it
+	// yet.
+	propagationTime = 300 * time.Millisecond
+	// maxTracked bounds the servers with a last report, and those with an unreadable value.
+	maxTracked = 1024
 )
 
-// Listener decides which answers of servers say something of their limits that all hosts must
-// be told. It is safe for concurrent use.
+// Listener decides which answers of servers carry a change of their rate limits that all hosts must
+// learn of. It is safe for concurrent use.
 type Listener struct {
 	mu         sync.Mutex
-	told       map[process.Key]told
+	lastReport map[process.Key]lastReport
 	unreadable map[process.Key]bool
 }
 
-// told is the report about a server that was told last.
-type told struct {
+// lastReport is the last report about a server.
+type lastReport struct {
 	report Report
 	at     time.Time
 }
 
-// NewListener returns a listener that has heard nothing.
+// NewListener returns a listener without earlier reports.
 func NewListener() *Listener {
-	return &Listener{told: make(map[process.Key]told), unreadable: make(map[process.Key]bool)}
+	return &Listener{lastReport: make(map[process.Key]lastReport), unreadable: make(map[process.Key]bool)}
 }
 
-// Hear takes what an answer says whose request was sent at a time, and returns what all hosts
-// must be told; false for nothing.
+// Hear compares the rate limit in an answer with the view and returns the report for all hosts, or
+// false if there is nothing to report. sentAt is when the request of the answer was sent.
 func (l *Listener) Hear(now time.Time, view *View, server process.Server, sentAt time.Time, said protocol.RateLimit) (Report, bool) {
 	held, known := view.Named(server.Key())
 	if !known && !said.Named || said.Unreadable != "" {
@@ -72,55 +72,57 @@
 	if !isNew || report.Kind == Began && view.isFull() {
 		return Report{}, false
 	}
-	return report, l.isUntold(now, report)
+	return report, l.shouldReport(now, report)
 }
 
-// compare returns what an answer says that is not held yet.
+// compare returns the change between the limit that is held and the one in an answer, and whether
+// it is to be reported.
 func compare(now time.Time, held Limit, known bool, server process.Server, sentAt time.Time, said protocol.RateLimit) (Report, bool) {
 	began := Report{Kind: Began, Server: server, PerSecond: said.PerSecond, Since: now}
 	switch {
 	case !known:
 		return began, said.Named
 	case held.Server.IsNewerThan(server):
-		return Report{}, false // a late answer of a process that has ended
+		return Report{}, false // late answer of a process that has ended
 	case server.IsNewerThan(held.Server):
-		return began, said.Named // what the earlier process named is over in any case
+		return began, said.Named // the limit of the earlier process no longer applies
 	case !said.Named:
-		// The server may have begun to answer before it had a limit.
+		// The server may have started to answer before it had a limit.
 		isLater := sentAt.After(held.LearnedAt)
-		return Report{Kind: Ended, Server: server, Before: held.PerSecond}, isLater && now.Sub(held.LearnedAt) >= leastHold
-	case held.isAbout(said.PerSecond):
-		return Report{Kind: Repeated, Server: server, PerSecond: held.PerSecond, Since: held.Since}, held.Until.Sub(now) < heldFor/2
+		return Report{Kind: Ended, Server: server, Before: held.PerSecond}, isLater && now.Sub(held.LearnedAt) >= minHold
+	case held.isSimilar(said.PerSecond):
+		return Report{Kind: Repeated, Server: server, PerSecond: held.PerSecond, Since: held.Since}, held.Until.Sub(now) < limitTTL/2
 	default:
 		report := Report{Kind: Changed, Server: server, PerSecond: said.PerSecond, Before: held.PerSecond, Since: held.Since}
-		return report, said.PerSecond < held.PerSecond || now.Sub(held.LearnedAt) >= leastHold
+		return report, said.PerSecond < held.PerSecond || now.Sub(held.LearnedAt) >= minHold
 	}
 }
 
-// isUntold reports whether a report has not been told just now, and notes that it is.
-func (l *Listener) isUntold(now time.Time, report Report) bool {
+// shouldReport records a report and returns false if the same change was reported just now. A
+// lower value is always reported.
+func (l *Listener) shouldReport(now time.Time, report Report) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := report.Server.Key()
-	last, known := l.told[key]
-	if known && now.Sub(last.at) < onItsWay && last.report.Kind == report.Kind && last.report.PerSecond <= report.PerSecond {
+	last, known := l.lastReport[key]
+	if known && now.Sub(last.at) < propagationTime && last.report.Kind == report.Kind && last.report.PerSecond <= report.PerSecond {
 		return false
 	}
-	if len(l.told) >= maxRemembered {
-		clear(l.told)
+	if len(l.lastReport) >= maxTracked {
+		clear(l.lastReport)
 	}
-	l.told[key] = told{report, now}
+	l.lastReport[key] = lastReport{report, now}
 	return true
 }
 
-// FirstUnreadable reports whether this is the first value of a server that cannot be read.
+// FirstUnreadable reports whether a server has sent an unreadable value for the first time.
 func (l *Listener) FirstUnreadable(server process.Server) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.unreadable[server.Key()] {
 		return false
 	}
-	if len(l.unreadable) >= maxRemembered {
+	if len(l.unreadable) >= maxTracked {
 		clear(l.unreadable)
 	}
 	l.unreadable[server.Key()] = true
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,11 +1,11 @@
-// Package ratelimit keeps the rate limits that backend servers name in their answers: the
+// Package ratelimit tracks the rate limits that backend servers announce in their answers: the
 // requests a second that a server takes from all hosts together.
 //
-// A limit binds the sum over all hosts, so a host that has not heard the server itself must
-// know it too: each limit is a register that all hosts hold, written by a host whose answer
-// says something new. What all hosts send is kept within it by package quota.
+// A limit bounds the sum over all hosts, so hosts must know it without an answer of their own. Each
+// limit is a replicated register, written by a host that receives an answer with a change. Package
+// quota enforces the limits.
 //
-// The package is pure but for the lock of Listener: time is passed in.
+// The package does no I/O and does not read the clock; Listener is the only type with a lock.
 package ratelimit
 
 import (
@@ -20,62 +20,62 @@
 )
 
 const (
-	// heldFor is how long a limit is held after a host has last told it. The hosts that
-	// hear it again tell it again after half of that time.
-	heldFor = 2 * time.Minute
-	// leastHold is how long a value is held before a higher one, or none, replaces it: a
-	// server that says something else with each answer is taken at its lowest.
-	leastHold = time.Second
-	// samePart is the part by which two values differ that count as one.
-	samePart = 0.02
-	// maxLimits bounds the servers whose limits are held, some 200 bytes each.
+	// limitTTL is the lifetime of a limit after its last report. Hosts that still receive it
+	// renew it after half of that time.
+	limitTTL = 2 * time.Minute
+	// minHold is the minimum time before a higher value, or none, replaces a limit: if a
+	// server announces a different value with each answer, the lowest applies.
+	minHold = time.Second
+	// valueTolerance is the relative difference within which two values are considered equal.
+	valueTolerance = 0.02
+	// maxLimits bounds the number of limits, of about 200 bytes each.
 	maxLimits = 4096
-	// leastPerSecond is what a server with a lower limit gets all the same, from all hosts
-	// together: no answer could end a limit of none.
-	leastPerSecond = 0.1
-	// burstSeconds of its rate may come to a server at one moment, beside one request:
-	// requests do not come at even distances.
+	// minPerSecond is the rate sent to a server whose limit is lower, from all hosts together.
+	// With no requests at all, no answer could end a limit of 0.
+	minPerSecond = 0.1
+	// burstSeconds sets the burst, beside one request, in seconds of the rate: requests do not
+	// arrive at even intervals.
 	burstSeconds = 0.5
 )
 
 // Limit is the rate limit of a server.
 type Limit struct {
 	Server process.Server
-	// PerSecond is the requests a second as the server names it.
+	// PerSecond is the announced value in requests a second.
 	PerSecond float64
-	// Since is when a host first heard that the server has a limit, LearnedAt when this
-	// host learned the value, and Until when it is forgotten unless it is heard again.
+	// Since is when a host first learned that the server has a limit, LearnedAt when this host
+	// learned the current value, and Until when it expires unless it is renewed.
 	Since     time.Time
 	LearnedAt time.Time
 	Until     time.Time
-	// HeardBy is the host that heard the value.
+	// HeardBy is the host that received the value from the server.
 	HeardBy string
 }
 
-// Allowed is the requests a second that hosts send.
-func (l Limit) Allowed() float64 { return math.Max(l.PerSecond, leastPerSecond) }
+// Allowed returns the rate that hosts may send, in requests a second.
+func (l Limit) Allowed() float64 { return math.Max(l.PerSecond, minPerSecond) }
 
-// Burst is how many requests may come at one moment.
+// Burst returns how many requests may be sent at once.
 func (l Limit) Burst() float64 { return 1 + burstSeconds*l.Allowed() }
 
-// Bound is the limit as package quota keeps it.
+// Bound returns the limit in the form that package quota enforces.
 func (l Limit) Bound() customer.Limit {
 	return customer.Limit{PerSecond: l.Allowed(), Burst: l.Burst()}
 }
 
-// isAbout reports whether the limit's value is another one.
-func (l Limit) isAbout(perSecond float64) bool {
-	return math.Abs(l.PerSecond-perSecond) <= samePart*l.PerSecond
+// isSimilar reports whether a value equals the limit within valueTolerance.
+func (l Limit) isSimilar(perSecond float64) bool {
+	return math.Abs(l.PerSecond-perSecond) <= valueTolerance*l.PerSecond
 }
 
-// View is the limits of all servers, as all hosts have them. It does not change.
+// View holds the limits of all servers. It is immutable.
 type View struct {
 	limits map[process.Key]Limit
-	// cold are the limits of servers that have just started.
+	// cold holds the limits of servers in warm-up.
 	cold map[process.Key]Limit
 }
 
-// NewView returns a view of limits.
+// NewView returns a view of the given limits.
 func NewView(limits []Limit) *View {
 	v := &View{limits: make(map[process.Key]Limit, len(limits))}
 	for _, l := range limits {
@@ -87,10 +87,10 @@
 // Empty reports whether no server has a limit.
 func (v *View) Empty() bool { return v == nil || len(v.limits)+len(v.cold) == 0 }
 
-// isFull reports whether no further limit is held.
+// isFull reports whether the number of limits has reached maxLimits.
 func (v *View) isFull() bool { return v != nil && len(v.limits) >= maxLimits }
 
-// Of returns the limit of a server's process; false if it has none.
+// Of returns the limit of a server's process, or false if it has none.
 func (v *View) Of(server process.Server) (Limit, bool) {
 	limit, known := v.Bound(server.Key())
 	if !known || server.IsNewerThan(limit.Server) {
@@ -99,8 +99,8 @@
 	return limit, true
 }
 
-// Bound returns what binds a server whatever its process: the limit that it names or the one
-// of its cold time, the lower if there are both.
+// Bound returns the limit of a server whatever its process: the one that it announces or the one
+// of its warm-up, whichever is lower.
 func (v *View) Bound(key process.Key) (Limit, bool) {
 	if v.Empty() {
 		return Limit{}, false
@@ -113,7 +113,7 @@
 	return named, isNamed
 }
 
-// Named returns the limit that a server names, whatever its process.
+// Named returns the limit that a server announces, whatever its process.
 func (v *View) Named(key process.Key) (Limit, bool) {
 	if v.Empty() {
 		return Limit{}, false
@@ -122,7 +122,7 @@
 	return held, known
 }
 
-// All returns the limits by service and server.
+// All returns the announced limits, sorted by service and server.
 func (v *View) All() []Limit {
 	if v.Empty() {
 		return nil
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -21,7 +21,7 @@
 	return protocol.RateLimit{Named: true, PerSecond: perSecond}
 }
 
-// fleet is hosts that share one store of registers, as after all gossip.
+// fleet models hosts whose stores of registers have converged.
 type fleet struct {
 	store *register.Store
 	clock uint64
@@ -31,7 +31,7 @@
 
 func (f *fleet) view() *View { return ViewOf(f.store) }
 
-func (f *fleet) tell(t *testing.T, now time.Time, report Report) {
+func (f *fleet) merge(t *testing.T, now time.Time, report Report) {
 	t.Helper()
 	r, err := report.Register(now)
 	if err != nil {
@@ -40,16 +40,16 @@
 	f.clock++
 	r.Stamp = &peerpb.Stamp{Clock: f.clock, Host: "h1"}
 	if !f.store.Merge(now, r) {
-		t.Fatal("the report was not taken")
+		t.Fatal("the store did not accept the report")
 	}
 }
 
-// hear lets a host that has heard nothing yet take an answer, and tells what it reports.
+// hear passes an answer to a host without earlier reports, and merges its report into the store.
 func (f *fleet) hear(t *testing.T, now time.Time, s process.Server, sentAt time.Time, said protocol.RateLimit) (Kind, bool) {
 	t.Helper()
 	report, isNew := NewListener().Hear(now, f.view(), s, sentAt, said)
 	if isNew {
-		f.tell(t, now, report)
+		f.merge(t, now, report)
 	}
 	return report.Kind, isNew
 }
@@ -58,12 +58,13 @@
 	t.Helper()
 	limit, limited := f.view().Of(s)
 	if got := limit.PerSecond; got != want || limited != (want > 0) {
-		t.Errorf("%v has a limit of %v (%v), want %v", s, got, limited, want)
+		t.Errorf("%v has a limit of %v (limited: %v), want %v", s, got, limited, want)
 	}
 }
 
-// A limit that one host hears is known to all, with its age, and holds for that process only.
-func TestOneAnswerIsEnoughForAllHosts(t *testing.T) {
+// A limit that one host receives applies at all hosts, with its age, and only to the process that
+// announced it.
+func TestLimitFromOneAnswerAppliesAtAllHosts(t *testing.T) {
 	f := newFleet()
 	if kind, isNew := f.hear(t, start, server, start, named(2.4)); !isNew || kind != Began {
 		t.Fatalf("%v %v", kind, isNew)
@@ -80,17 +81,17 @@
 	}
 }
 
-// An answer without a limit ends one if its request was sent after the limit was known: the
-// server may have begun an earlier one before it had a limit.
-func TestOnlyALaterAnswerEndsALimit(t *testing.T) {
+// An answer without a limit ends the limit only if its request was sent after the limit was
+// learned: the server may have started an earlier answer before it had a limit.
+func TestOnlyLaterAnswerEndsLimit(t *testing.T) {
 	f := newFleet()
 	f.hear(t, start, server, start, named(2))
 	later := start.Add(6 * time.Second)
 	if _, isNew := f.hear(t, later, server, start.Add(-time.Millisecond), protocol.RateLimit{}); isNew {
-		t.Error("an answer that was begun before the limit ends it")
+		t.Error("the answer to a request sent before the limit was learned ended the limit")
 	}
 	if _, isNew := f.hear(t, later, server, later, protocol.RateLimit{Unreadable: `"x"`}); isNew {
-		t.Error("a value that cannot be read says something")
+		t.Error("an unreadable value was reported")
 	}
 	f.expect(t, server, 2)
 	if kind, isNew := f.hear(t, later, server, start.Add(time.Second), protocol.RateLimit{}); !isNew || kind != Ended {
@@ -101,9 +102,9 @@
 	f.expect(t, server, 3)
 }
 
-// A lower value counts at once, a higher one or none after a while: with a server that says
-// something else in each answer the lowest holds.
-func TestLimitThatChangesWithEachAnswer(t *testing.T) {
+// A lower value applies at once, a higher one or none only after minHold. If a server announces a
+// different value with each answer, the lowest applies.
+func TestLowestOfChangingLimitsApplies(t *testing.T) {
 	f := newFleet()
 	now := start
 	said := []protocol.RateLimit{named(6), {}, named(1), named(6)}
@@ -119,11 +120,11 @@
 		}
 	}
 	if reports > 8 || higher > answers/10 {
-		t.Errorf("%d reports of %d answers; the lowest did not hold at %d", reports, answers, higher)
+		t.Errorf("%d reports for %d answers; the lowest limit did not apply after %d of them", reports, answers, higher)
 	}
 }
 
-// A limit is told again before it is forgotten as long as hosts hear it, and not more often.
+// A limit is renewed before it expires as long as hosts receive it, and not more often than needed.
 func TestLimitIsRenewed(t *testing.T) {
 	f := newFleet()
 	now := start
@@ -139,17 +140,17 @@
 	if reports > 12 {
 		t.Errorf("%d reports in 10 minutes", reports)
 	}
-	f.store.Expire(now.Add(heldFor))
+	f.store.Expire(now.Add(limitTTL))
 	f.expect(t, server, 0)
 }
 
-// A new process under the same ID has named nothing, and a late answer of the old one names
-// nothing of the new one.
+// A limit does not apply to a new process under the same ID, and a late answer of the old process
+// does not change the limit of the new one.
 func TestLimitsOfOtherProcesses(t *testing.T) {
 	f := newFleet()
 	f.hear(t, start, again, start, named(2))
 	if _, isNew := f.hear(t, start.Add(time.Minute), server, start.Add(time.Minute), named(1)); isNew {
-		t.Error("an answer of an ended process counts")
+		t.Error("the answer of an ended process was reported")
 	}
 	newest := process.Server{Service: "shop", ID: "i1", Started: 3000}
 	f.expect(t, newest, 0)
@@ -157,25 +158,26 @@
 	f.expect(t, newest, 5)
 }
 
-// One host tells a report once while it is on its way into the view, but a lower value at once.
-func TestReportOnItsWay(t *testing.T) {
+// A host does not repeat a report while it propagates into the view, but reports a lower value at
+// once.
+func TestPropagatingReportIsNotRepeated(t *testing.T) {
 	l := NewListener()
 	hear := func(now time.Time, perSecond float64) bool {
 		_, isNew := l.Hear(now, nil, server, now, named(perSecond))
 		return isNew
 	}
 	if !hear(start, 2) || hear(start.Add(time.Millisecond), 2) || hear(start.Add(2*time.Millisecond), 3) {
-		t.Error("the report is told more than once")
+		t.Error("the change was not reported exactly once")
 	}
 	if !hear(start.Add(3*time.Millisecond), 1) {
-		t.Error("a lower value is not told")
+		t.Error("a lower value was not reported")
 	}
-	if !hear(start.Add(onItsWay+3*time.Millisecond), 1) {
-		t.Error("a report that was lost is not told again")
+	if !hear(start.Add(propagationTime+3*time.Millisecond), 1) {
+		t.Error("a lost report was not repeated")
 	}
 }
 
-// What is kept is bounded, and so is what is remembered of values that cannot be read.
+// The numbers of limits, of last reports and of servers with unreadable values are bounded.
 func TestBounds(t *testing.T) {
 	limits := make([]Limit, maxLimits)
 	for i := range limits {
@@ -183,32 +185,32 @@
 	}
 	l := NewListener()
 	if _, isNew := l.Hear(start, NewView(limits), server, start, named(2)); isNew {
-		t.Error("one more limit is told")
+		t.Error("a limit beyond maxLimits was reported")
 	}
-	for i := range 3 * maxRemembered {
+	for i := range 3 * maxTracked {
 		l.Hear(start, nil, process.Server{Service: "shop", ID: fmt.Sprint(i)}, start, named(2))
 		l.FirstUnreadable(process.Server{Service: "shop", ID: fmt.Sprint(i)})
 	}
-	if len(l.told) > maxRemembered || len(l.unreadable) > maxRemembered {
-		t.Errorf("%d and %d are remembered", len(l.told), len(l.unreadable))
+	if len(l.lastReport) > maxTracked || len(l.unreadable) > maxTracked {
+		t.Errorf("%d last reports and %d unreadable values are tracked", len(l.lastReport), len(l.unreadable))
 	}
-	if l.FirstUnreadable(process.Server{Service: "shop", ID: fmt.Sprint(3*maxRemembered - 1)}) {
-		t.Error("the same value is told twice")
+	if l.FirstUnreadable(process.Server{Service: "shop", ID: fmt.Sprint(3*maxTracked - 1)}) {
+		t.Error("an unreadable value of the same server is reported as the first twice")
 	}
 }
 
-// Of a limit of none a server still gets a request now and then: its answer ends the limit.
-func TestLimitOfNone(t *testing.T) {
+// A server with a limit of 0 still gets occasional requests, so that an answer can end the limit.
+func TestLimitOfZero(t *testing.T) {
 	limit := Limit{PerSecond: 0}
-	if got := limit.Allowed(); got != leastPerSecond {
-		t.Errorf("%v requests a second are sent", got)
+	if got := limit.Allowed(); got != minPerSecond {
+		t.Errorf("%v requests a second are sent, want minPerSecond", got)
 	}
 	if most := 5.0; 4*limit.Allowed()+limit.Burst() > most {
-		t.Errorf("%v requests may come in 4 s", 4*limit.Allowed()+limit.Burst())
+		t.Errorf("%v requests may be sent in 4 s", 4*limit.Allowed()+limit.Burst())
 	}
 }
 
-// What every send pays where no server has a limit, and where some have.
+// BenchmarkOf measures the look-up for each send, with and without limits.
 func BenchmarkOf(b *testing.B) {
 	for _, n := range []int{0, 1, 100} {
 		b.Run(fmt.Sprint(n, "-limited"), func(b *testing.B) {
--- a/internal/ratelimit/register.go
+++ b/internal/ratelimit/register.go
@@ -18,20 +18,20 @@
 
 func registerKey(key process.Key) string { return prefix + key.String() }
 
-// Register returns an unstamped register that tells all hosts a report.
+// Register returns the register that carries the report to all hosts, without a stamp.
 func (r Report) Register(now time.Time) (*peerpb.Register, error) {
-	told := &peerpb.Register{Key: registerKey(r.Server.Key()), TtlMs: uint64(heldFor.Milliseconds())}
+	register := &peerpb.Register{Key: registerKey(r.Server.Key()), TtlMs: uint64(limitTTL.Milliseconds())}
 	if r.Kind == Ended {
-		told.Deleted = true
-		return told, nil
+		register.Deleted = true
+		return register, nil
 	}
 	age := max(now.Sub(r.Since).Milliseconds(), 0)
 	value, err := proto.Marshal(&peerpb.RateLimit{Started: r.Server.Started, PerSecond: r.PerSecond, AgeMs: uint32(age)})
-	told.Value = value
-	return told, err
+	register.Value = value
+	return register, err
 }
 
-// ViewOf returns the view that a host's registers give.
+// ViewOf returns the view of the limits in a store of registers.
 func ViewOf(store *register.Store) *View {
 	var all []Limit
 	for _, r := range store.Prefix(prefix) {
@@ -46,7 +46,7 @@
 	key, ok := process.ParseKey(strings.TrimPrefix(r.Key, prefix))
 	value := &peerpb.RateLimit{}
 	if !ok || proto.Unmarshal(r.Value, value) != nil || !(value.PerSecond >= 0) {
-		return Limit{}, false // not of this version of the daemon
+		return Limit{}, false // written by an incompatible version of the daemon
 	}
 	until := store.Expiry(r.Key)
 	learned := until.Add(-time.Duration(r.TtlMs) * time.Millisecond)
