--- a/internal/availability/availability.go
+++ b/internal/availability/availability.go
@@ -1,11 +1,12 @@
-// Package availability keeps which backend servers get no requests from this host by their own
-// reports: those that are leaving, those that have asked for rest (503 with Retry-After), and
-// those whose rate limit has no room. One table serves every way in which a request can reach a
-// server.
+// Package availability tracks the backend servers that this host sends no requests for reasons that
+// the servers report themselves: servers that are leaving, servers that have asked for a rest (503
+// with Retry-After), and servers whose rate limit is used up. One table covers all paths by which a
+// request can reach a server.
 //
-// Only what a server told this host itself is kept, and what this host was refused. Other hosts
-// learn of leaving and rest from an answer of their own: telling them would save one request a
-// host, server and report. Rate limits bind all hosts together: see package ratelimit.
+// The table holds only what servers reported to this host and what this host was refused. Other
+// hosts learn that a server leaves or rests from an answer of their own; sharing it would save one
+// request for each host, server and report. Rate limits apply to all hosts together: see package
+// ratelimit.
 package availability
 
 import (
@@ -19,32 +20,32 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// maxServers bounds the servers of which something is kept, 150 bytes each. A host uses
-// some hundred servers at the target size (14,000 servers, each used by 8 of 1,100 hosts): a
-// release may replace all of them ten times before the first are forgotten. What is
-// forgotten is said again with the next answer.
+// maxServers bounds the servers in the table, of about 150 bytes each. At the target size (14,000
+// servers, each used by 8 of 1,100 hosts) a host uses about a hundred servers, and a release may
+// replace all of them ten times before the first entries are evicted. An evicted state is
+// reported again with the next answer.
 const maxServers = 1024
 
-// ServerOf names the process of a server in a view.
+// ServerOf returns the process of a server in a view.
 func ServerOf(service string, b *world.BackendView) process.Server {
 	return process.Server{Service: service, ID: b.ID, Started: b.Started}
 }
 
-// State is what a server has told this host.
+// State is what a server has reported to this host.
 type State struct {
 	Server process.Server
-	// LeavingSince is when it first said that it is leaving, zero if it has not. It holds
-	// until its process is gone.
+	// LeavingSince is when it first reported that it is leaving, zero if it has not. The
+	// report holds for the lifetime of the process.
 	LeavingSince time.Time
-	// RestSince and RestUntil bound the rest that it asked for last, zero for none.
+	// RestSince and RestUntil are the bounds of the last rest it asked for, zero for none.
 	RestSince time.Time
 	RestUntil time.Time
-	// NoRoomSince and NoRoomUntil bound the time in which its rate limit has no room, as far
-	// as this host knows, zero for none.
+	// NoRoomSince and NoRoomUntil are the bounds of the time in which its rate limit is used
+	// up, as far as this host knows, zero for none.
 	NoRoomSince time.Time
 	NoRoomUntil time.Time
-	// SaidAt is when it last said either, CheckedAt when it was last asked whether it is
-	// still leaving.
+	// SaidAt is the time of its last report of leaving or rest, and CheckedAt when it was last
+	// asked whether it is still leaving.
 	SaidAt    time.Time
 	CheckedAt time.Time
 }
@@ -55,10 +56,10 @@
 // Reasons.
 const (
 	Available Reason = iota
-	// Returning: its rest is over, and it has not answered a request since. It gets one
-	// request of this host at a time, which shows whether there is room for more.
+	// Returning: its rest is over, but it has not answered a request since. This host sends it
+	// one request at a time, to find out whether it has capacity for more.
 	Returning
-	// NoRoom: it names a rate limit, and all hosts together have sent what that allows.
+	// NoRoom: the requests of all hosts together have used up its rate limit.
 	NoRoom
 	Resting
 	Leaving
@@ -66,17 +67,17 @@
 
 var reasonNames = [...]string{"available", "returning", "no-room", "resting", "leaving"}
 
-// returnsFor bounds the time after a rest in which a server is Returning: one that then
-// leaves the only request unanswered is no longer a matter of its rest.
-const returnsFor = 2 * time.Second
+// returnPeriod is how long after its rest a server may be Returning. If the one request is still
+// unanswered after that, the cause is no longer the rest.
+const returnPeriod = 2 * time.Second
 
-// String returns the name that logs have.
+// String returns the name of the reason in logs.
 func (r Reason) String() string { return reasonNames[r] }
 
-// TakesRequests reports whether a server may be sent a request at all.
+// TakesRequests reports whether a server may be sent any requests.
 func (r Reason) TakesRequests() bool { return r == Available || r == Returning }
 
-// ReasonAt returns why the server gets no requests at a time.
+// ReasonAt returns why the server gets no requests at the given time.
 func (s State) ReasonAt(now time.Time) Reason {
 	switch {
 	case !s.LeavingSince.IsZero():
@@ -85,22 +86,22 @@
 		return Resting
 	case now.Before(s.NoRoomUntil):
 		return NoRoom
-	case now.Before(s.RestUntil.Add(returnsFor)):
+	case now.Before(s.RestUntil.Add(returnPeriod)):
 		return Returning
 	default:
 		return Available
 	}
 }
 
-// takesAgainAt is when a server that does not leave takes requests again.
-func (s State) takesAgainAt() time.Time {
+// availableAt returns when a server that is not leaving takes requests again.
+func (s State) availableAt() time.Time {
 	if s.RestUntil.After(s.NoRoomUntil) {
 		return s.RestUntil
 	}
 	return s.NoRoomUntil
 }
 
-// Table is what the servers have told this host. It is safe for concurrent use.
+// Table holds what servers have reported to this host. It is safe for concurrent use.
 type Table struct {
 	clock func() time.Time
 
@@ -108,125 +109,126 @@
 	view atomic.Pointer[view]
 }
 
-// view is an immutable copy of the table: it is read for each server of each pick, and
-// changes when a server says something new.
+// view is an immutable version of the table. It is read for each server of each pick, and replaced
+// when a server reports a change.
 type view map[process.Key]State
 
-// NewTable returns an empty table. clock must go on while the machine is suspended: servers
-// do not wait for it.
+// NewTable returns an empty table. clock must include the time for which the machine is suspended,
+// since servers do not wait for it.
 func NewTable(clock func() time.Time) *Table {
 	t := &Table{clock: clock}
 	t.view.Store(&view{})
 	return t
 }
 
-// Change is what a server's report changed.
+// Change is the effect of a server's report.
 type Change struct {
-	// BeganLeaving and BeganRest are set with the first such report; one that is repeated
-	// or prolonged changes neither.
+	// BeganLeaving and BeganRest are set by the first such report, not by one that repeats or
+	// prolongs it.
 	BeganLeaving bool
 	BeganRest    bool
-	// Returned is set with the first answer after a rest that asks for no further one.
+	// Returned is set by the first answer after a rest that does not ask for another one.
 	Returned bool
 }
 
-// Learn takes what a server said of itself in an answer that has just arrived.
-func (t *Table) Learn(server process.Server, said protocol.ServerState) Change {
-	saysNothing := !said.Leaving && said.Rest == 0
-	if _, known := (*t.view.Load())[server.Key()]; saysNothing && !known {
+// Learn records what a server reported in an answer that has just arrived.
+func (t *Table) Learn(server process.Server, reported protocol.ServerState) Change {
+	noReport := !reported.Leaving && reported.Rest == 0
+	if _, known := (*t.view.Load())[server.Key()]; noReport && !known {
 		return Change{}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock()
-	held, current := t.held(server)
+	state, current := t.state(server)
 	switch {
 	case !current:
-		return Change{} // a late answer of a process that has ended
-	case saysNothing:
-		return t.noteReturn(now, held, server)
+		return Change{} // late answer of a process that has ended
+	case noReport:
+		return t.applyAnswer(now, state, server)
 	default:
-		return t.note(now, held, server, said)
+		return t.applyReport(now, state, server, reported)
 	}
 }
 
-// held returns what is held of a server's process, nothing if that is of an earlier one. It
-// reports false if a later process is known.
-func (t *Table) held(server process.Server) (State, bool) {
-	held, known := (*t.view.Load())[server.Key()]
+// state returns the state of a server's process, empty if the table holds that of an earlier one.
+// It returns false if a later process is known.
+func (t *Table) state(server process.Server) (State, bool) {
+	state, known := (*t.view.Load())[server.Key()]
 	switch {
 	case !known:
 		return State{}, true
-	case server.IsNewerThan(held.Server):
-		return State{Server: held.Server}, true
+	case server.IsNewerThan(state.Server):
+		return State{Server: state.Server}, true
 	default:
-		return held, !held.Server.IsNewerThan(server)
+		return state, !state.Server.IsNewerThan(server)
 	}
 }
 
-// note adds a server's report to what is held of its process.
-func (t *Table) note(now time.Time, held State, server process.Server, said protocol.ServerState) Change {
-	next := held
+// applyReport adds a server's report to the state of its process.
+func (t *Table) applyReport(now time.Time, state State, server process.Server, reported protocol.ServerState) Change {
+	next := state
 	next.Server = server
 	next.SaidAt = now
 	var change Change
-	if said.Leaving && held.LeavingSince.IsZero() {
+	if reported.Leaving && state.LeavingSince.IsZero() {
 		next.LeavingSince = now
 		change.BeganLeaving = true
 	}
-	if until := now.Add(said.Rest); said.Rest > 0 && until.After(held.RestUntil) {
+	if until := now.Add(reported.Rest); reported.Rest > 0 && until.After(state.RestUntil) {
 		next.RestUntil = until
-		if !now.Before(held.RestUntil) {
+		if !now.Before(state.RestUntil) {
 			next.RestSince = now
 			change.BeganRest = true
 		}
 	}
-	t.store(now, next)
+	t.publish(now, next)
 	return change
 }
 
-// NoteNoRoom keeps requests from a server for a time in which its rate limit has no room.
+// NoteNoRoom marks a server as NoRoom for the given time, because its rate limit is used up.
 func (t *Table) NoteNoRoom(server process.Server, length time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock()
-	held, current := t.held(server)
+	state, current := t.state(server)
 	if !current {
 		return
 	}
-	held.Server = server
-	if !now.Before(held.NoRoomUntil) {
-		held.NoRoomSince = now
+	state.Server = server
+	if !now.Before(state.NoRoomUntil) {
+		state.NoRoomSince = now
 	}
-	held.NoRoomUntil = now.Add(length)
-	t.store(now, held)
+	state.NoRoomUntil = now.Add(length)
+	t.publish(now, state)
 }
 
-// noteReturn ends the time after a rest: the server has taken a request again.
-func (t *Table) noteReturn(now time.Time, held State, server process.Server) Change {
-	if server.IsNewerThan(held.Server) {
-		t.remove(held.Server) // what that process said is over
+// applyAnswer handles an answer without a report: a server that was returning is available.
+func (t *Table) applyAnswer(now time.Time, state State, server process.Server) Change {
+	if server.IsNewerThan(state.Server) {
+		t.remove(state.Server) // reports of the earlier process no longer apply
 		return Change{}
 	}
-	if held.RestUntil.IsZero() || now.Before(held.RestUntil) || !held.LeavingSince.IsZero() {
+	if state.RestUntil.IsZero() || now.Before(state.RestUntil) || !state.LeavingSince.IsZero() {
 		return Change{}
 	}
-	t.remove(held.Server)
+	t.remove(state.Server)
 	return Change{Returned: true}
 }
 
-// store publishes a copy of the table with a server's new state.
-func (t *Table) store(now time.Time, state State) {
+// publish replaces the view by a copy with a server's new state.
+func (t *Table) publish(now time.Time, state State) {
 	next := maps.Clone(*t.view.Load())
 	next[state.Server.Key()] = state
 	if len(next) > maxServers {
-		next.shrink(now)
+		next.evict(now)
 	}
 	t.view.Store(&next)
 }
 
-// shrink drops what is over, and if that is not enough the state that was told longest ago.
-func (v view) shrink(now time.Time) {
+// evict removes states that have expired and, if there are still too many, the one whose last
+// report is the oldest.
+func (v view) evict(now time.Time) {
 	var oldest *State
 	for k, s := range v {
 		if s.ReasonAt(now) == Available {
@@ -241,37 +243,37 @@
 }
 
 const (
-	// recheckAfter is how long a server has been leaving before it is asked whether it still
-	// is, recheckEvery the least time between two questions. Servers that leave are gone some
-	// seconds later; one that is there after a minute may have said so wrongly, or have
-	// started again where nothing tells its starts apart.
-	recheckAfter = time.Minute
-	recheckEvery = 15 * time.Second
-	// recheckPerHost keeps the questions of all hosts together at one a second.
-	recheckPerHost = time.Second
-	// recheckAtOnce bounds the questions of one round.
-	recheckAtOnce = 4
+	// recheckDelay is how long a server has been leaving before it is asked whether it still
+	// is, and recheckInterval the minimum time between two checks. Servers that leave
+	// terminate within seconds. One that is still there after a minute may have reported it
+	// in error, or may have restarted without a start time to tell the processes apart.
+	recheckDelay    = time.Minute
+	recheckInterval = 15 * time.Second
+	// recheckIntervalPerHost limits the checks of all hosts together to one a second.
+	recheckIntervalPerHost = time.Second
+	// maxRechecks bounds the checks of one round.
+	maxRechecks = 4
 )
 
-// TakeRechecks returns servers that must be asked whether they are still leaving, and notes
-// that they are. hosts is how many hosts there are: each may have been told.
+// TakeRechecks returns the servers to be asked whether they are still leaving, and marks them as
+// checked. hosts is the number of hosts, since each of them may have received the report.
 func (t *Table) TakeRechecks(hosts int) []process.Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock()
-	every := max(recheckEvery, time.Duration(hosts)*recheckPerHost)
+	every := max(recheckInterval, time.Duration(hosts)*recheckIntervalPerHost)
 	var due []process.Server
 	for _, s := range *t.view.Load() {
-		if !s.LeavingSince.IsZero() && now.Sub(s.LeavingSince) >= recheckAfter && now.Sub(s.CheckedAt) >= every && len(due) < recheckAtOnce {
+		if !s.LeavingSince.IsZero() && now.Sub(s.LeavingSince) >= recheckDelay && now.Sub(s.CheckedAt) >= every && len(due) < maxRechecks {
 			due = append(due, s.Server)
 			s.CheckedAt = now
-			t.store(now, s)
+			t.publish(now, s)
 		}
 	}
 	return due
 }
 
-// Forget drops what a server's process has said, because it says otherwise now.
+// Forget removes the state of a server, because it no longer reports it.
 func (t *Table) Forget(server process.Server) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -284,50 +286,50 @@
 	t.view.Store(&next)
 }
 
-// Of returns why a server gets no requests now, and what it has said.
+// Of returns why a server gets no requests now, and its state.
 func (t *Table) Of(server process.Server) (Reason, State) { return t.Now().Of(server) }
 
-// Moment is the table at one moment.
+// Moment is a snapshot of the table at a point in time.
 type Moment struct {
 	now  time.Time
 	view view
 }
 
-// Now returns the table as it is.
+// Now returns a snapshot of the table.
 func (t *Table) Now() Moment {
 	v := *t.view.Load()
 	if len(v) == 0 {
-		return Moment{} // nothing has been said: nothing depends on the time
+		return Moment{} // empty: no need to read the clock
 	}
 	return Moment{now: t.clock(), view: v}
 }
 
-// Nothing reports whether no server has said anything.
+// Nothing reports whether the table is empty.
 func (m Moment) Nothing() bool { return len(m.view) == 0 }
 
-// Of returns why a server gets no requests at this moment, and what it has said.
+// Of returns why a server gets no requests at this moment, and its state.
 func (m Moment) Of(server process.Server) (Reason, State) {
 	if len(m.view) == 0 {
 		return Available, State{}
 	}
-	held, known := m.view[server.Key()]
-	if !known || server.IsNewerThan(held.Server) {
+	state, known := m.view[server.Key()]
+	if !known || server.IsNewerThan(state.Server) {
 		return Available, State{}
 	}
-	return held.ReasonAt(m.now), held
+	return state.ReasonAt(m.now), state
 }
 
 // Absence is why none of a set of servers takes requests.
 type Absence struct {
-	// Reason is why the first that will take requests again takes none now, Leaving if all
-	// are leaving.
+	// Reason is that of the server that will be the first to take requests again, or Leaving if
+	// all servers are leaving.
 	Reason Reason
-	// Left is the time until the first of them does, 0 if all are leaving.
+	// Left is the time until that server takes requests, 0 if all servers are leaving.
 	Left time.Duration
 }
 
-// AbsenceOf returns why none of a service's servers takes requests; false if one does, or
-// if there are none.
+// AbsenceOf returns why none of a service's servers takes requests, or false if one does or there
+// are no servers.
 func (m Moment) AbsenceOf(service string, servers []world.BackendView) (Absence, bool) {
 	absence := Absence{Reason: Leaving}
 	for i := range servers {
@@ -335,7 +337,7 @@
 		if reason.TakesRequests() {
 			return Absence{}, false
 		}
-		left := state.takesAgainAt().Sub(m.now)
+		left := state.availableAt().Sub(m.now)
 		if reason != Leaving && (absence.Reason == Leaving || left < absence.Left) {
 			absence = Absence{Reason: reason, Left: left}
 		}
@@ -343,7 +345,7 @@
 	return absence, len(servers) > 0
 }
 
-// All returns the servers that get no requests at this moment, in no order.
+// All returns the servers that get no requests at this moment, in unspecified order.
 func (m Moment) All() []State {
 	var all []State
 	for _, s := range m.view {
@@ -354,5 +356,5 @@
 	return all
 }
 
-// Time is the moment's time by the table's clock, zero if nothing has been said.
+// Time returns the time of the moment by the table's clock, zero if the table is empty.
 func (m Moment) Time() time.Time { return m.now }
--- a/internal/availability/availability_test.go
+++ b/internal/availability/availability_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// clock is set by hand.
+// clock is a manual clock.
 type clock struct{ now time.Time }
 
 func (c *clock) Now() time.Time { return c.now }
@@ -37,16 +37,16 @@
 	}
 }
 
-// A server's report that it leaves holds until its process is gone: also hours later, after
-// answers of requests that were under way and say nothing, and where its start is no longer
-// or not yet known. A new process under the same ID has said nothing.
+// The report of leaving holds for the lifetime of the process: for hours, despite later answers
+// without a report to requests in flight, and also if the start time is not or no longer known.
+// It does not apply to a new process under the same ID.
 func TestLeavingHoldsForTheProcess(t *testing.T) {
 	table, c := newTable()
 	if change := table.Learn(server, leaving); !change.BeganLeaving {
-		t.Error("the first report is not told as a change")
+		t.Error("the first report is not a change")
 	}
 	if change := table.Learn(server, leaving); change.BeganLeaving {
-		t.Error("a repeated report is told as a change")
+		t.Error("a repeated report is a change")
 	}
 	c.now = c.now.Add(5 * time.Hour)
 	table.Learn(server, protocol.ServerState{})
@@ -62,8 +62,8 @@
 	expect(t, table, again, availability.Available)
 }
 
-// A late answer of a process that has ended says nothing of the one that has its ID now, and
-// what an old process said is forgotten with the first answer of the new one.
+// A late answer of a process that has ended does not affect the process that has its ID now, and
+// the state of the old process is removed with the first answer of the new one.
 func TestReportsOfOtherProcesses(t *testing.T) {
 	table, _ := newTable()
 	again := process.Server{Service: "shop", ID: "i1", Started: 2000}
@@ -74,30 +74,30 @@
 	table.Learn(server, leaving)
 	table.Learn(again, protocol.ServerState{})
 	if !table.Now().Nothing() {
-		t.Error("the report of the old process is kept")
+		t.Error("the state of the old process was not removed")
 	}
 }
 
-// Of two rests the later end holds. After it a server is returning until it answers without
-// asking for another rest, or for a short time.
+// Of two rests the later end applies. After it the server is Returning until it answers without
+// asking for another rest, at most for a short time.
 func TestRestEnds(t *testing.T) {
 	table, c := newTable()
 	if change := table.Learn(server, rest(3*time.Second)); !change.BeganRest {
-		t.Error("the first rest is not told as a change")
+		t.Error("the first rest is not a change")
 	}
 	if change := table.Learn(server, rest(time.Second)); change.BeganRest {
-		t.Error("a rest within a rest is told as a change")
+		t.Error("a rest within a rest is a change")
 	}
 	c.now = start.Add(3*time.Second - 1)
 	expect(t, table, server, availability.Resting)
 	if change := table.Learn(server, protocol.ServerState{}); change.Returned {
-		t.Error("an answer within the rest ends it")
+		t.Error("an answer during the rest ended it")
 	}
 	expect(t, table, server, availability.Resting)
 	c.now = start.Add(3 * time.Second)
 	expect(t, table, server, availability.Returning)
 	if change := table.Learn(server, protocol.ServerState{}); !change.Returned {
-		t.Error("the return is not told as a change")
+		t.Error("the return is not a change")
 	}
 	expect(t, table, server, availability.Available)
 	table.Learn(server, rest(time.Second))
@@ -105,7 +105,7 @@
 	expect(t, table, server, availability.Available)
 }
 
-// A server that rests and then leaves does not return.
+// A server that reports leaving during a rest does not return after the rest.
 func TestLeavingOutlivesRest(t *testing.T) {
 	table, c := newTable()
 	table.Learn(server, rest(time.Second))
@@ -117,7 +117,7 @@
 	expect(t, table, server, availability.Available)
 }
 
-// What is kept is bounded: rests that are over go first, then what was said longest ago.
+// The size of the table is bounded: expired rests are evicted first, then the oldest reports.
 func TestTableIsBounded(t *testing.T) {
 	const many = 3_000
 	table, c := newTable()
@@ -126,24 +126,24 @@
 		table.Learn(process.Server{Service: "shop", ID: fmt.Sprint(i)}, leaving)
 	}
 	if kept := len(table.Now().All()); kept < 500 || kept > many/2 {
-		t.Errorf("%d servers are kept", kept)
+		t.Errorf("%d servers in the table", kept)
 	}
 	expect(t, table, process.Server{Service: "shop", ID: fmt.Sprint(many - 1)}, availability.Leaving)
 	expect(t, table, process.Server{Service: "shop", ID: "0"}, availability.Available)
 }
 
-// A service without servers that take requests says when the first of them does.
+// If none of a service's servers takes requests, AbsenceOf returns when the first one will.
 func TestAbsence(t *testing.T) {
 	table, c := newTable()
 	views := []world.BackendView{{ID: "i1"}, {ID: "i2"}, {ID: "i3"}}
 	named := func(i int) process.Server { return availability.ServerOf("shop", &views[i]) }
 	if _, none := table.Now().AbsenceOf("shop", views); none {
-		t.Error("nothing was said, and none takes requests")
+		t.Error("no server takes requests although none has reported")
 	}
 	table.Learn(named(0), leaving)
 	table.Learn(named(1), rest(5*time.Second))
 	if _, none := table.Now().AbsenceOf("shop", views); none {
-		t.Error("i3 takes requests")
+		t.Error("no server takes requests although i3 does")
 	}
 	table.Learn(named(2), rest(3*time.Second))
 	if absence, none := table.Now().AbsenceOf("shop", views); !none || absence.Reason != availability.Resting || absence.Left != 3*time.Second {
@@ -151,22 +151,22 @@
 	}
 	c.now = c.now.Add(3 * time.Second)
 	if _, none := table.Now().AbsenceOf("shop", views); none {
-		t.Error("i3 is back")
+		t.Error("no server takes requests although the rest of i3 is over")
 	}
 	if absence, none := table.Now().AbsenceOf("shop", views[:1]); !none || absence.Reason != availability.Leaving {
 		t.Errorf("%+v %v", absence, none)
 	}
 	if _, none := table.Now().AbsenceOf("shop", nil); none {
-		t.Error("a service without servers is another matter")
+		t.Error("a service without servers has an absence")
 	}
 }
 
-// What a request pays at each pick for one server, and for an answer.
+// BenchmarkOf measures the look-up of one server at each pick.
 func BenchmarkOf(b *testing.B) {
-	for _, said := range []int{0, 1, 100} {
-		b.Run(fmt.Sprint(said, "-said"), func(b *testing.B) {
+	for _, reported := range []int{0, 1, 100} {
+		b.Run(fmt.Sprint(reported, "-reported"), func(b *testing.B) {
 			table := availability.NewTable(time.Now)
-			for i := range said {
+			for i := range reported {
 				table.Learn(process.Server{Service: "shop", ID: fmt.Sprint("i", i)}, leaving)
 			}
 			b.ReportAllocs()
@@ -178,6 +178,7 @@
 	}
 }
 
+// BenchmarkLearnNothing measures the handling of an answer without a report.
 func BenchmarkLearnNothing(b *testing.B) {
 	table := availability.NewTable(time.Now)
 	table.Learn(process.Server{Service: "shop", ID: "i9"}, leaving)
@@ -187,9 +188,9 @@
 	}
 }
 
-// A server whose rate limit has no room takes no requests until then; a service all of whose
-// servers rest or have no room says when the first takes some.
-func TestNoRoomInARateLimit(t *testing.T) {
+// A server whose rate limit is used up takes no requests for the given time. If all servers of a
+// service rest or have used up their limits, AbsenceOf returns when the first one takes requests.
+func TestUsedUpRateLimit(t *testing.T) {
 	table, c := newTable()
 	views := []world.BackendView{{ID: "i1"}, {ID: "i2"}}
 	named := func(i int) process.Server { return availability.ServerOf("shop", &views[i]) }
@@ -214,20 +215,20 @@
 	expect(t, table, newer, availability.Available)
 }
 
-// However many hosts have been told that a server leaves, together they ask it about once a
-// second whether it still does.
-func TestQuestionsOfAllHostsAreBounded(t *testing.T) {
+// All hosts together check about once a second whether a server is still leaving, however many
+// have received its report.
+func TestRechecksOfAllHostsAreBounded(t *testing.T) {
 	for _, hosts := range []int{1, 12, 40, 443} {
 		table, c := newTable()
 		table.Learn(server, leaving)
 		c.now = start.Add(time.Hour)
-		asked := 0
+		checks := 0
 		for c.now.Sub(start) < 2*time.Hour {
-			asked += len(table.TakeRechecks(hosts))
+			checks += len(table.TakeRechecks(hosts))
 			c.now = c.now.Add(time.Second)
 		}
-		if together := asked * hosts; asked == 0 || together > 3600+hosts {
-			t.Errorf("%d hosts ask %d times in an hour", hosts, together)
+		if together := checks * hosts; checks == 0 || together > 3600+hosts {
+			t.Errorf("%d hosts check %d times in an hour", hosts, together)
 		}
 	}
 }
--- a/internal/ratelimit/cold.go
+++ b/internal/ratelimit/cold.go
@@ -6,10 +6,10 @@
 	"github.com/pearshelf/pearshelf/internal/process"
 )
 
-// A server that has just started, or has become cold again, takes few requests a second
-// from all hosts together, and terminates if it gets many more. This is enforced like a rate limit that
-// the server announces, but hosts need no report of it: each derives it, and when it ends, from the
-// list of servers.
+// A server that has just started, or has become cold again, takes few requests a second from all
+// hosts together, and terminates if it gets many more. This is enforced like a rate limit that the
+// server announces, but needs no reports: each host derives the limit and its end from the list of
+// servers.
 
 // Cold is a server with a low rate limit during warm-up.
 type Cold struct {
--- a/internal/ratelimit/listener.go
+++ b/internal/ratelimit/listener.go
@@ -63,12 +63,12 @@
 
 // Hear compares the rate limit in an answer with the view and returns the report for all hosts, or
 // false if there is nothing to report. sentAt is when the request of the answer was sent.
-func (l *Listener) Hear(now time.Time, view *View, server process.Server, sentAt time.Time, said protocol.RateLimit) (Report, bool) {
+func (l *Listener) Hear(now time.Time, view *View, server process.Server, sentAt time.Time, announced protocol.RateLimit) (Report, bool) {
 	held, known := view.Named(server.Key())
-	if !known && !said.Named || said.Unreadable != "" {
+	if !known && !announced.Named || announced.Unreadable != "" {
 		return Report{}, false
 	}
-	report, isNew := compare(now, held, known, server, sentAt, said)
+	report, isNew := compare(now, held, known, server, sentAt, announced)
 	if !isNew || report.Kind == Began && view.isFull() {
 		return Report{}, false
 	}
@@ -77,24 +77,24 @@
 
 // compare returns the change between the limit that is held and the one in an answer, and whether
 // it is to be reported.
-func compare(now time.Time, held Limit, known bool, server process.Server, sentAt time.Time, said protocol.RateLimit) (Report, bool) {
-	began := Report{Kind: Began, Server: server, PerSecond: said.PerSecond, Since: now}
+func compare(now time.Time, held Limit, known bool, server process.Server, sentAt time.Time, announced protocol.RateLimit) (Report, bool) {
+	began := Report{Kind: Began, Server: server, PerSecond: announced.PerSecond, Since: now}
 	switch {
 	case !known:
-		return began, said.Named
+		return began, announced.Named
 	case held.Server.IsNewerThan(server):
 		return Report{}, false // late answer of a process that has ended
 	case server.IsNewerThan(held.Server):
-		return began, said.Named // the limit of the earlier process no longer applies
-	case !said.Named:
+		return began, announced.Named // the limit of the earlier process no longer applies
+	case !announced.Named:
 		// The server may have started to answer before it had a limit.
 		isLater := sentAt.After(held.LearnedAt)
 		return Report{Kind: Ended, Server: server, Before: held.PerSecond}, isLater && now.Sub(held.LearnedAt) >= minHold
-	case held.isSimilar(said.PerSecond):
+	case held.isSimilar(announced.PerSecond):
 		return Report{Kind: Repeated, Server: server, PerSecond: held.PerSecond, Since: held.Since}, held.Until.Sub(now) < limitTTL/2
 	default:
-		report := Report{Kind: Changed, Server: server, PerSecond: said.PerSecond, Before: held.PerSecond, Since: held.Since}
-		return report, said.PerSecond < held.PerSecond || now.Sub(held.LearnedAt) >= minHold
+		report := Report{Kind: Changed, Server: server, PerSecond: announced.PerSecond, Before: held.PerSecond, Since: held.Since}
+		return report, announced.PerSecond < held.PerSecond || now.Sub(held.LearnedAt) >= minHold
 	}
 }
 
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -45,9 +45,9 @@
 }
 
 // hear passes an answer to a host without earlier reports, and merges its report into the store.
-func (f *fleet) hear(t *testing.T, now time.Time, s process.Server, sentAt time.Time, said protocol.RateLimit) (Kind, bool) {
+func (f *fleet) hear(t *testing.T, now time.Time, s process.Server, sentAt time.Time, announced protocol.RateLimit) (Kind, bool) {
 	t.Helper()
-	report, isNew := NewListener().Hear(now, f.view(), s, sentAt, said)
+	report, isNew := NewListener().Hear(now, f.view(), s, sentAt, announced)
 	if isNew {
 		f.merge(t, now, report)
 	}
@@ -107,12 +107,12 @@
 func TestLowestOfChangingLimitsApplies(t *testing.T) {
 	f := newFleet()
 	now := start
-	said := []protocol.RateLimit{named(6), {}, named(1), named(6)}
+	announced := []protocol.RateLimit{named(6), {}, named(1), named(6)}
 	const answers = 100 // in 2 s
 	reports, higher := 0, 0
 	for i := range answers {
 		now = now.Add(20 * time.Millisecond)
-		if _, isNew := f.hear(t, now, server, now, said[i%len(said)]); isNew {
+		if _, isNew := f.hear(t, now, server, now, announced[i%len(announced)]); isNew {
 			reports++
 		}
 		if limit, limited := f.view().Of(server); !limited || limit.PerSecond > 1 {
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -55,7 +55,7 @@
 mutant "whose report" internal/dispatch/serverstate.go 's/return !x.isMisdirected(answer) \&\& .*/return !x.isMisdirected(answer) || echo != ""/' ./platform -run WhoseReport
 mutant "a report of an older process" internal/process/process.go 's/return s.Started > other.Started .*/return false/' ./internal/availability
 mutant "leaving holds" internal/availability/availability.go 's/case !s.LeavingSince.IsZero():/case now.Sub(s.LeavingSince) < time.Minute:/' ./internal/availability
-mutant "the later end of two rests" internal/availability/availability.go 's/ \&\& until.After(held.RestUntil)//' ./internal/availability
+mutant "the later end of two rests" internal/availability/availability.go 's/ \&\& until.After(state.RestUntil)//' ./internal/availability
 mutant "stop grace" internal/daemon/stop.go 's/^	wait(ctx, time.Duration(d.settings.Timing.StopGrace))$//' ./e2e -ginkgo.focus "kept connections"
 mutant "graceful end" internal/daemon/stop.go 's/d.callerServer.Shutdown(ctx), d.peerServer.Shutdown(ctx)/d.callerServer.Close(), d.peerServer.Close()/' ./e2e -ginkgo.focus "in turn under load"
 mutant "witnesses" internal/system/detection/judge.go 's/return live <= 1 || e.witnessed(now)/return true/' ./experiment/detection -run NoFalse
