--- a/internal/customer/bearer.go
+++ b/internal/customer/bearer.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// HeaderAuthorization carries the key (RFC 9110, 11.6.2). It never goes to a
-	// backend server where there are customers.
+	// HeaderAuthorization carries the key (RFC 9110, 11.6.2). It is not forwarded to backend
+	// servers if customers are configured.
 	HeaderAuthorization = "Authorization"
-	// HeaderChallenge is on the refusal of a request without a known key.
+	// HeaderChallenge is set on the refusal of a request without a known key.
 	HeaderChallenge = "Www-Authenticate"
 
 	scheme = "Bearer"
-	// maxKeyBytes bounds a key, which is hashed before it is known.
+	// maxKeyBytes bounds the length of a key, since unknown keys are hashed too.
 	maxKeyBytes = 512
 )
 
 // Challenge is the value of HeaderChallenge.
 const Challenge = scheme
 
-// KeyOf returns the key that a request carries as a bearer token (RFC 6750, 2.1).
-// Where there is none, more than one, or none that is well formed, it returns false.
+// KeyOf returns the key that a request carries as a bearer token (RFC 6750, 2.1). It returns false
+// if there is no Authorization header, more than one, or a malformed one.
 func KeyOf(h http.Header) (string, bool) {
 	values := h[HeaderAuthorization]
 	if len(values) != 1 {
--- a/internal/customer/customer.go
+++ b/internal/customer/customer.go
@@ -2,15 +2,15 @@
 
 import "github.com/pearshelf/pearshelf/internal/region"
 
-// Customer is one row of the table.
+// Customer is the configuration of a customer.
 type Customer struct {
-	// Name is told to backend servers.
+	// Name is passed to backend servers.
 	Name string
-	// Priority goes before that of the route, 0 the highest, nil to leave it.
+	// Priority overrides that of the route, with 0 the highest; nil keeps that of the route.
 	Priority *int
-	// Limit is over all hosts together.
+	// Limit applies to all hosts together.
 	Limit Limit
-	// Homes are where its requests may be run.
+	// Homes are the regions in which its requests may be run.
 	Homes region.Homes
 }
 
@@ -18,11 +18,11 @@
 type Limit struct {
 	// PerSecond is the sustained rate in requests a second, 0 for no limit.
 	PerSecond float64
-	// Burst is how many requests may come at once beyond that rate.
+	// Burst is the number of requests that may come at once in excess of that rate.
 	Burst float64
 }
 
-// None reports whether the limit allows everything.
+// None reports whether there is no limit.
 func (l Limit) None() bool { return l.PerSecond <= 0 }
 
 // Table finds a customer by its key. It is immutable after Build and safe for
@@ -32,13 +32,13 @@
 	byName map[string]*Customer
 }
 
-// Entry is a customer with the digests of its keys.
+// Entry is a customer and the digests of its keys.
 type Entry struct {
 	Customer
 	Keys []Digest
 }
 
-// Build makes a table. No two entries may share a key or a name.
+// Build returns a table of the entries. Their keys and names must be unique.
 func Build(entries []Entry) *Table {
 	t := &Table{byKey: make(map[Digest]*Customer), byName: make(map[string]*Customer, len(entries))}
 	for i := range entries {
@@ -51,11 +51,11 @@
 	return t
 }
 
-// Empty reports whether there are no customers: then nobody needs a key.
+// Empty reports whether there are no customers. Requests then need no key.
 func (t *Table) Empty() bool { return len(t.byName) == 0 }
 
-// Holder returns the customer that holds a key, nil if none does.
+// Holder returns the customer that holds a key, or nil.
 func (t *Table) Holder(key string) *Customer { return t.byKey[DigestOf(key)] }
 
-// Named returns a customer by name, nil if there is none.
+// Named returns the customer of the given name, or nil.
 func (t *Table) Named(name string) *Customer { return t.byName[name] }
--- a/internal/customer/customer_test.go
+++ b/internal/customer/customer_test.go
@@ -21,35 +21,35 @@
 
 func key(i, k int) string { return fmt.Sprintf("ta828m82thhkmgjq%06d-%d", i, k) }
 
-func TestKeysLeadToTheirHolder(t *testing.T) {
-	held := table(100)
+func TestHolderOfKey(t *testing.T) {
+	customers := table(100)
 	for i := range 100 {
 		for k := range 2 {
-			if c := held.Holder(key(i, k)); c == nil || c.Name != fmt.Sprint("customer-", i) {
-				t.Fatalf("key %d of customer %d leads to %v", k, i, c)
+			if c := customers.Holder(key(i, k)); c == nil || c.Name != fmt.Sprint("customer-", i) {
+				t.Fatalf("key %d of customer %d is held by %v", k, i, c)
 			}
 		}
 	}
 	for _, unknown := range []string{"", "x", key(100, 0), key(1, 1) + " "} {
-		if c := held.Holder(unknown); c != nil {
-			t.Errorf("unknown key %q leads to %s", unknown, c.Name)
+		if c := customers.Holder(unknown); c != nil {
+			t.Errorf("unknown key %q is held by %s", unknown, c.Name)
 		}
 	}
 }
 
-func TestDigestReadsWhatItWrites(t *testing.T) {
+func TestParseDigestRoundTrip(t *testing.T) {
 	d := customer.DigestOf("some-key")
-	if back, err := customer.ParseDigest(d.String()); err != nil || back != d {
-		t.Errorf("%v, %v", back, err)
+	if parsed, err := customer.ParseDigest(d.String()); err != nil || parsed != d {
+		t.Errorf("ParseDigest returned %v, %v", parsed, err)
 	}
 	for _, bad := range []string{"", "some-key", d.String() + "A", d.String()[1:], d.String() + "=="} {
 		if _, err := customer.ParseDigest(bad); err == nil {
-			t.Errorf("%q is read as a digest", bad)
+			t.Errorf("ParseDigest accepted %q", bad)
 		}
 	}
 }
 
-func TestKeyOfARequest(t *testing.T) {
+func TestKeyOf(t *testing.T) {
 	cases := []struct {
 		values []string
 		key    string
@@ -70,21 +70,21 @@
 	for _, c := range cases {
 		key, ok := customer.KeyOf(http.Header{"Authorization": c.values})
 		if ok != c.ok || ok && key != c.key {
-			t.Errorf("%q: %q, %v", c.values, key, ok)
+			t.Errorf("%q: key %q, %v", c.values, key, ok)
 		}
 	}
 }
 
-// BenchmarkHolder is one look-up among 100,000 customers of two keys each.
+// BenchmarkHolder measures a look-up among 100,000 customers of two keys each.
 func BenchmarkHolder(b *testing.B) {
-	held := table(100_000)
+	customers := table(100_000)
 	keys := make([]string, 1024)
 	for i := range keys {
 		keys[i] = key(i*97%100_000, i%2)
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		if held.Holder(keys[i%len(keys)]) == nil {
+		if customers.Holder(keys[i%len(keys)]) == nil {
 			b.Fatal("unknown")
 		}
 	}
--- a/internal/customer/digest.go
+++ b/internal/customer/digest.go
@@ -1,6 +1,6 @@
-// Package customer knows the customers of the fleet: who holds which key, and what
-// each may ask for. Keys themselves are never held: a table has their digests only,
-// so that no log, metric, document or core dump can give one away.
+// Package customer defines the customers of the fleet: their keys, limits and other settings. It
+// stores only the digests of keys, so that logs, metrics, documents and core dumps cannot disclose
+// a key.
 package customer
 
 import (
@@ -10,11 +10,12 @@
 	"golang.org/x/crypto/blake2b"
 )
 
-// digestBytes is the length of a digest: as hard to invert as the keys, which have
-// some 100 bits, and short, because a document has one for each key.
+// digestBytes is the length of a digest. At this length, inverting a digest is as hard as guessing
+// a key, which has about 100 bits of entropy; a longer one would enlarge documents, which contain
+// a digest for each key.
 const digestBytes = 16
 
-// digestDomain keeps the digests apart from all others of the same keys.
+// digestDomain separates the digests from those of the same keys for other purposes.
 var digestDomain = []byte("pearshelf customer key 1")
 
 // Digest is the keyed BLAKE2b hash (RFC 7693) of a customer's key.
@@ -24,22 +25,22 @@
 func DigestOf(key string) Digest {
 	hash, err := blake2b.New(digestBytes, digestDomain)
 	if err != nil {
-		panic(err) // length and domain are constants of this package
+		panic(err) // unreachable: length and domain are constants
 	}
-	_, _ = hash.Write([]byte(key)) // a hash.Hash never fails
+	_, _ = hash.Write([]byte(key)) // hash.Hash never returns an error
 	var d Digest
 	hash.Sum(d[:0])
 	return d
 }
 
-// ParseDigest reads what String wrote.
+// ParseDigest parses the result of String.
 func ParseDigest(text string) (Digest, error) {
 	raw, err := base64.RawURLEncoding.Strict().DecodeString(text)
 	if err != nil || len(raw) != digestBytes {
-		return Digest{}, fmt.Errorf("%q is no digest of a key", text)
+		return Digest{}, fmt.Errorf("%q is not a key digest", text)
 	}
 	return Digest(raw), nil
 }
 
-// String returns the digest as documents have it: unpadded base64 (RFC 4648, 5).
+// String returns the form of the digest in documents: unpadded base64url (RFC 4648, 5).
 func (d Digest) String() string { return base64.RawURLEncoding.EncodeToString(d[:]) }
--- a/internal/region/region.go
+++ b/internal/region/region.go
@@ -1,8 +1,9 @@
-// Package region says in which regions a request may be run. A route and a customer may name
-// home regions; both bind where both do. A request with homes is sent to no backend server
-// and no host of another region, nor is anything that carries its body, key or answer.
+// Package region restricts the regions in which a request may be run. A route and a customer may
+// each specify home regions; if both do, both restrictions apply. A request with homes is sent to
+// no backend server and no host in another region, nor is anything that carries its body, key or
+// answer.
 //
-// The package is pure.
+// The package does no I/O.
 package region
 
 import (
@@ -10,16 +11,16 @@
 	"strings"
 )
 
-// Map gives the region of each data centre.
+// Map maps data centres to their regions.
 type Map map[string]string
 
-// Homes are the regions in which a request may be run. The zero value allows all.
+// Homes are the regions in which a request may be run. The zero value allows all regions.
 type Homes struct {
 	bound   bool
-	regions []string // in order
+	regions []string // sorted
 }
 
-// HomesOf returns the homes that a list names; an empty list binds nothing.
+// HomesOf returns the homes for a list of regions. An empty list means no restriction.
 func HomesOf(regions []string) Homes {
 	if len(regions) == 0 {
 		return Homes{}
@@ -27,7 +28,7 @@
 	return Homes{bound: true, regions: slices.Compact(slices.Sorted(slices.Values(regions)))}
 }
 
-// And returns the homes that are in both; where they have none in common nothing is allowed.
+// And returns the intersection of two homes. If it is empty, no region is allowed.
 func (h Homes) And(other Homes) Homes {
 	switch {
 	case !h.bound:
@@ -44,10 +45,10 @@
 	return both
 }
 
-// Bound reports whether there are homes.
+// Bound reports whether there is a restriction.
 func (h Homes) Bound() bool { return h.bound }
 
-// Allow reports whether a data centre is in a home. One whose region is not known is in none.
+// Allow reports whether the region of a data centre is allowed. If it is unknown, it is not.
 func (h Homes) Allow(regions Map, dataCentre string) bool {
 	if !h.bound {
 		return true
@@ -56,7 +57,7 @@
 	return known && slices.Contains(h.regions, region)
 }
 
-// String names the regions, as logs have them; empty if there are no homes.
+// String returns the regions for logs, empty if there is no restriction.
 func (h Homes) String() string {
 	if h.bound && len(h.regions) == 0 {
 		return "none in common"
--- a/internal/region/region_test.go
+++ b/internal/region/region_test.go
@@ -8,7 +8,7 @@
 
 var regions = region.Map{"dc1": "north", "dc2": "north", "dc3": "south"}
 
-func TestHomesOfRouteAndCustomerBindTogether(t *testing.T) {
+func TestHomesOfRouteAndCustomer(t *testing.T) {
 	cases := []struct {
 		route, customer []string
 		dataCentre      string
@@ -30,10 +30,10 @@
 	for _, c := range cases {
 		homes := region.HomesOf(c.route).And(region.HomesOf(c.customer))
 		if got := homes.Allow(regions, c.dataCentre); got != c.allowed {
-			t.Errorf("%v and %v: %s allowed %v, want %v", c.route, c.customer, c.dataCentre, got, c.allowed)
+			t.Errorf("homes %v and %v: %s is allowed: %v, want %v", c.route, c.customer, c.dataCentre, got, c.allowed)
 		}
 		if homes.Bound() != (len(c.route)+len(c.customer) > 0) {
-			t.Errorf("%v and %v: bound %v", c.route, c.customer, homes.Bound())
+			t.Errorf("homes %v and %v: Bound returned %v", c.route, c.customer, homes.Bound())
 		}
 	}
 }
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -1,6 +1,6 @@
-// Package register is a store of last-writer-wins registers. Merging is
-// commutative, associative and idempotent, so hosts that have seen the same
-// writes in any order hold the same values.
+// Package register implements a store of last-writer-wins registers. Merging is commutative,
+// associative and idempotent: hosts that have received the same writes in any order hold the same
+// values.
 package register
 
 import (
@@ -16,16 +16,16 @@
 	"github.com/pearshelf/pearshelf/internal/api/peerpb"
 )
 
-// TombstoneTTL is how long a deletion is remembered. It must exceed the time
-// for which hosts can be cut apart, or the deleted value comes back.
+// TombstoneTTL is how long a deletion is kept. It must be longer than any network partition between
+// hosts; otherwise a deleted value reappears.
 const TombstoneTTL = 24 * time.Hour
 
 type entry struct {
 	register *peerpb.Register
-	expires  time.Time // zero for never
+	expires  time.Time // zero if it does not expire
 }
 
-// Store is not safe for concurrent use.
+// Store holds registers by key. It is not safe for concurrent use.
 type Store struct {
 	entries map[string]entry
 	digest  uint64
@@ -36,7 +36,7 @@
 	return &Store{entries: make(map[string]entry)}
 }
 
-// Compare orders two stamps.
+// Compare orders two stamps by revision, clock and host.
 func Compare(a, b *peerpb.Stamp) int {
 	return cmp.Or(
 		cmp.Compare(a.GetRevision(), b.GetRevision()),
@@ -45,18 +45,17 @@
 	)
 }
 
-// Merge takes a register if it is newer than what the store holds and reports
-// whether it did.
+// Merge stores a register if it is newer than the one at the same key, and reports whether it did.
 func (s *Store) Merge(now time.Time, r *peerpb.Register) bool {
 	if r.GetStamp() == nil || r.GetKey() == "" {
 		return false
 	}
-	held, ok := s.entries[r.Key]
-	if ok && Compare(r.Stamp, held.register.Stamp) <= 0 {
+	stored, ok := s.entries[r.Key]
+	if ok && Compare(r.Stamp, stored.register.Stamp) <= 0 {
 		return false
 	}
 	if ok {
-		s.digest ^= digestOf(held.register)
+		s.digest ^= digestOf(stored.register)
 	}
 	s.digest ^= digestOf(r)
 	s.entries[r.Key] = entry{register: r, expires: expiry(now, r)}
@@ -73,38 +72,38 @@
 	return time.Time{}
 }
 
-// Get returns the live register at a key.
+// Get returns the register at a key, unless it is deleted.
 func (s *Store) Get(key string) (*peerpb.Register, bool) {
-	held, ok := s.entries[key]
-	if !ok || held.register.Deleted {
+	stored, ok := s.entries[key]
+	if !ok || stored.register.Deleted {
 		return nil, false
 	}
-	return held.register, true
+	return stored.register, true
 }
 
-// Expiry returns when the register at a key is dropped, zero for never or none.
+// Expiry returns when the register at a key expires, zero if it does not expire or is absent.
 func (s *Store) Expiry(key string) time.Time { return s.entries[key].expires }
 
-// Stamp returns the stamp at a key, also of a deletion, or nil.
+// Stamp returns the stamp at a key, including that of a deletion, or nil.
 func (s *Store) Stamp(key string) *peerpb.Stamp {
-	held, ok := s.entries[key]
+	stored, ok := s.entries[key]
 	if !ok {
 		return nil
 	}
-	return held.register.Stamp
+	return stored.register.Stamp
 }
 
-// Prefix returns the live registers whose key starts with prefix, by key.
+// Prefix returns the registers whose keys start with prefix, without deletions, sorted by key.
 func (s *Store) Prefix(prefix string) []*peerpb.Register { return s.withPrefix(prefix, false) }
 
-// Deleted returns the deletions that are remembered of keys that start with prefix, by key.
+// Deleted returns the deletions of keys that start with prefix, sorted by key.
 func (s *Store) Deleted(prefix string) []*peerpb.Register { return s.withPrefix(prefix, true) }
 
 func (s *Store) withPrefix(prefix string, deleted bool) []*peerpb.Register {
 	var found []*peerpb.Register
-	for key, held := range s.entries {
-		if strings.HasPrefix(key, prefix) && held.register.Deleted == deleted {
-			found = append(found, held.register)
+	for key, stored := range s.entries {
+		if strings.HasPrefix(key, prefix) && stored.register.Deleted == deleted {
+			found = append(found, stored.register)
 		}
 	}
 	sortByKey(found)
@@ -115,30 +114,30 @@
 	slices.SortFunc(registers, func(a, b *peerpb.Register) int { return cmp.Compare(a.Key, b.Key) })
 }
 
-// Expire drops what has outlived its time and returns the dropped registers.
+// Expire removes expired registers and returns them.
 func (s *Store) Expire(now time.Time) []*peerpb.Register {
 	var dropped []*peerpb.Register
-	for key, held := range s.entries {
-		if held.expires.IsZero() || now.Before(held.expires) {
+	for key, stored := range s.entries {
+		if stored.expires.IsZero() || now.Before(stored.expires) {
 			continue
 		}
-		s.digest ^= digestOf(held.register)
+		s.digest ^= digestOf(stored.register)
 		delete(s.entries, key)
-		dropped = append(dropped, held.register)
+		dropped = append(dropped, stored.register)
 	}
 	sortByKey(dropped)
 	return dropped
 }
 
-// All returns every register, deletions included, with the time left to live.
+// All returns copies of all registers, including deletions, with their remaining time to live.
 func (s *Store) All(now time.Time) []*peerpb.Register {
 	all := make([]*peerpb.Register, 0, len(s.entries))
-	for _, held := range s.entries {
-		copied := proto.CloneOf(held.register)
+	for _, stored := range s.entries {
+		copied := proto.CloneOf(stored.register)
 		copied.TtlMs = 0
-		if !held.expires.IsZero() {
-			left := held.expires.Sub(now).Milliseconds()
-			copied.TtlMs = uint64(max(left, 1))
+		if !stored.expires.IsZero() {
+			remaining := stored.expires.Sub(now).Milliseconds()
+			copied.TtlMs = uint64(max(remaining, 1))
 		}
 		all = append(all, copied)
 	}
@@ -146,10 +145,10 @@
 	return all
 }
 
-// Len returns the number of registers, deletions included.
+// Len returns the number of registers, including deletions.
 func (s *Store) Len() int { return len(s.entries) }
 
-// Digest identifies the content: equal stores have equal digests.
+// Digest returns a hash of the content: stores with equal content have equal digests.
 func (s *Store) Digest() uint64 { return s.digest }
 
 func digestOf(r *peerpb.Register) uint64 {
