--- a/internal/availability/availability_test.go
+++ b/internal/availability/availability_test.go
@@ -55,24 +55,24 @@
 	expect(t, table, process.Server{Service: "shop", ID: "i1", Started: 500}, availability.Leaving)
 	expect(t, table, process.Server{Service: "shop", ID: "i1", Started: 2000}, availability.Available)
 	expect(t, table, process.Server{Service: "files", ID: "i1", Started: 1000}, availability.Available)
-	again := process.Server{Service: "shop", ID: "i1", Started: 2000}
-	table.Learn(again, rest(time.Second))
-	expect(t, table, again, availability.Resting)
+	restarted := process.Server{Service: "shop", ID: "i1", Started: 2000}
+	table.Learn(restarted, rest(time.Second))
+	expect(t, table, restarted, availability.Resting)
 	c.now = c.now.Add(time.Hour)
-	expect(t, table, again, availability.Available)
+	expect(t, table, restarted, availability.Available)
 }
 
 // A late answer of a process that has ended does not affect the process that has its ID now, and
 // the state of the old process is removed with the first answer of the new one.
 func TestReportsOfOtherProcesses(t *testing.T) {
 	table, _ := newTable()
-	again := process.Server{Service: "shop", ID: "i1", Started: 2000}
-	table.Learn(again, rest(time.Second))
+	restarted := process.Server{Service: "shop", ID: "i1", Started: 2000}
+	table.Learn(restarted, rest(time.Second))
 	table.Learn(server, leaving)
-	expect(t, table, again, availability.Resting)
+	expect(t, table, restarted, availability.Resting)
 	table, _ = newTable()
 	table.Learn(server, leaving)
-	table.Learn(again, protocol.ServerState{})
+	table.Learn(restarted, protocol.ServerState{})
 	if !table.Now().Nothing() {
 		t.Error("the state of the old process was not removed")
 	}
--- a/internal/quota/home.go
+++ b/internal/quota/home.go
@@ -105,7 +105,7 @@
 	for _, u := range usages {
 		limit, known := t.limits(u.Customer)
 		if !known || limit.None() {
-			continue // unlimited here; the host applies its own configuration
+			continue // unknown or unlimited here; the host applies its own configuration
 		}
 		grants = append(grants, t.grant(now, from, incarnation, limit, u))
 	}
@@ -120,7 +120,7 @@
 	if created {
 		h.inherit(now, u, usage.Part, time.Duration(usage.PartAgeMs)*time.Millisecond)
 	}
-	if usage.Term != u.term { // credits spent before this report are not charged
+	if usage.Term != u.term { // credits spent before this report are unknown and not charged
 		u.term, u.spent = usage.Term, usage.Spent
 	}
 	if usage.Spent > u.spent {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -63,7 +63,8 @@
 	// what was spent before.
 	newHomeFill = 0.5
 	// stablePeriod is how long the list of hosts must be unchanged to ensure that no other host
-	// was a customer's home within the last few seconds, the windows of the hosts that serve it.
+	// was a customer's home within the windows of the hosts that serve it, which are a few
+	// seconds long.
 	stablePeriod = 6 * time.Second
 	// handoverPeriod is how long a new home accepts the shares that hosts report from an
 	// earlier home.
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -35,7 +35,7 @@
 	return home, other, name
 }
 
-// onlyUsage returns the usage report that a table has queued, and fails unless there is exactly one.
+// onlyUsage returns the queued usage report of a table, and fails unless there is exactly one.
 func onlyUsage(t *testing.T, table *Table) *peerpb.CustomerUsage {
 	t.Helper()
 	messages := table.Messages()
@@ -58,11 +58,11 @@
 	home.Messages() // discarded: the answer is lost
 	later := epoch.Add(requestTimeout)
 	other.Tick(later)
-	again := onlyUsage(t, other)
-	if again.Ask != first.Ask {
-		t.Fatalf("token request repeated with ID %d, want %d", again.Ask, first.Ask)
+	repeated := onlyUsage(t, other)
+	if repeated.Ask != first.Ask {
+		t.Fatalf("token request repeated with ID %d, want %d", repeated.Ask, first.Ask)
 	}
-	home.Usages(later, other.self, 1, []*peerpb.CustomerUsage{again})
+	home.Usages(later, other.self, 1, []*peerpb.CustomerUsage{repeated})
 	if spent := tokens - home.homes[name].tokens; spent > 0 {
 		t.Errorf("the repeated token request took %.1f tokens, want 0", spent)
 	}
@@ -290,7 +290,7 @@
 	}
 	home := tables[rendezvous.Top("shop/i1", fleet.Homes, 1)[0]]
 	now := epoch
-	for _, node := range slices.Concat(fleet.Homes, fleet.Homes) { // each host requests tokens twice, in turn
+	for _, node := range slices.Concat(fleet.Homes, fleet.Homes) { // each host asks twice, in turn
 		table := tables[node.Name]
 		table.Take(now, "shop/i1", smallLimit, func(Verdict) {})
 		for _, m := range table.Messages() {
--- a/internal/ratelimit/listener.go
+++ b/internal/ratelimit/listener.go
@@ -38,7 +38,8 @@
 	// propagationTime is how long a report is not repeated while the view does not include it
 	// yet.
 	propagationTime = 300 * time.Millisecond
-	// maxTracked bounds the servers with a last report, and those with an unreadable value.
+	// maxTracked bounds the number of servers whose last report is stored, and that of servers
+	// that are known to have sent an unreadable value.
 	maxTracked = 1024
 )
 
@@ -64,37 +65,37 @@
 // Hear compares the rate limit in an answer with the view and returns the report for all hosts, or
 // false if there is nothing to report. sentAt is when the request of the answer was sent.
 func (l *Listener) Hear(now time.Time, view *View, server process.Server, sentAt time.Time, announced protocol.RateLimit) (Report, bool) {
-	held, known := view.Named(server.Key())
+	current, known := view.Named(server.Key())
 	if !known && !announced.Named || announced.Unreadable != "" {
 		return Report{}, false
 	}
-	report, isNew := compare(now, held, known, server, sentAt, announced)
+	report, isNew := compare(now, current, known, server, sentAt, announced)
 	if !isNew || report.Kind == Began && view.isFull() {
 		return Report{}, false
 	}
 	return report, l.shouldReport(now, report)
 }
 
-// compare returns the change between the limit that is held and the one in an answer, and whether
-// it is to be reported.
-func compare(now time.Time, held Limit, known bool, server process.Server, sentAt time.Time, announced protocol.RateLimit) (Report, bool) {
+// compare returns the change from the current limit to the one in an answer, and whether it is to
+// be reported.
+func compare(now time.Time, current Limit, known bool, server process.Server, sentAt time.Time, announced protocol.RateLimit) (Report, bool) {
 	began := Report{Kind: Began, Server: server, PerSecond: announced.PerSecond, Since: now}
 	switch {
 	case !known:
 		return began, announced.Named
-	case held.Server.IsNewerThan(server):
+	case current.Server.IsNewerThan(server):
 		return Report{}, false // late answer of a process that has ended
-	case server.IsNewerThan(held.Server):
+	case server.IsNewerThan(current.Server):
 		return began, announced.Named // the limit of the earlier process no longer applies
 	case !announced.Named:
 		// The server may have started to answer before it had a limit.
-		isLater := sentAt.After(held.LearnedAt)
-		return Report{Kind: Ended, Server: server, Before: held.PerSecond}, isLater && now.Sub(held.LearnedAt) >= minHold
-	case held.isSimilar(announced.PerSecond):
-		return Report{Kind: Repeated, Server: server, PerSecond: held.PerSecond, Since: held.Since}, held.Until.Sub(now) < limitTTL/2
+		isLater := sentAt.After(current.LearnedAt)
+		return Report{Kind: Ended, Server: server, Before: current.PerSecond}, isLater && now.Sub(current.LearnedAt) >= minHold
+	case current.isSimilar(announced.PerSecond):
+		return Report{Kind: Repeated, Server: server, PerSecond: current.PerSecond, Since: current.Since}, current.Until.Sub(now) < limitTTL/2
 	default:
-		report := Report{Kind: Changed, Server: server, PerSecond: announced.PerSecond, Before: held.PerSecond, Since: held.Since}
-		return report, announced.PerSecond < held.PerSecond || now.Sub(held.LearnedAt) >= minHold
+		report := Report{Kind: Changed, Server: server, PerSecond: announced.PerSecond, Before: current.PerSecond, Since: current.Since}
+		return report, announced.PerSecond < current.PerSecond || now.Sub(current.LearnedAt) >= minHold
 	}
 }
 
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -118,8 +118,8 @@
 	if v.Empty() {
 		return Limit{}, false
 	}
-	held, known := v.limits[key]
-	return held, known
+	limit, known := v.limits[key]
+	return limit, known
 }
 
 // All returns the announced limits, sorted by service and server.
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -12,9 +12,9 @@
 )
 
 var (
-	start  = time.Unix(1_700_000_000, 0)
-	server = process.Server{Service: "shop", ID: "i1", Started: 1000}
-	again  = process.Server{Service: "shop", ID: "i1", Started: 2000}
+	start     = time.Unix(1_700_000_000, 0)
+	server    = process.Server{Service: "shop", ID: "i1", Started: 1000}
+	restarted = process.Server{Service: "shop", ID: "i1", Started: 2000}
 )
 
 func named(perSecond float64) protocol.RateLimit {
@@ -70,7 +70,7 @@
 		t.Fatalf("%v %v", kind, isNew)
 	}
 	f.expect(t, server, 2.4)
-	f.expect(t, again, 0)
+	f.expect(t, restarted, 0)
 	f.expect(t, process.Server{Service: "shop", ID: "i1"}, 2.4)
 	f.expect(t, process.Server{Service: "files", ID: "i1"}, 0)
 	later := start.Add(30 * time.Second)
@@ -148,7 +148,7 @@
 // does not change the limit of the new one.
 func TestLimitsOfOtherProcesses(t *testing.T) {
 	f := newFleet()
-	f.hear(t, start, again, start, named(2))
+	f.hear(t, start, restarted, start, named(2))
 	if _, isNew := f.hear(t, start.Add(time.Minute), server, start.Add(time.Minute), named(1)); isNew {
 		t.Error("the answer of an ended process was reported")
 	}
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -149,7 +149,7 @@
 mutant "no tokens accrued for fallback" internal/quota/request.go 's/if !s.homeUnreachable \&\& !t.rule.AccruesFallback {/if false {/' ./internal/quota -run FallbackDoesNotExceed
 mutant "a later answer ends a limit" internal/ratelimit/listener.go 's/isLater := .*/isLater := true/' ./internal/ratelimit
 mutant "limits of one process" internal/ratelimit/ratelimit.go 's/if !known || server.IsNewerThan(limit.Server) {/if !known {/' ./internal/ratelimit
-mutant "limits are renewed" internal/ratelimit/listener.go 's|held.Until.Sub(now) < limitTTL/2|false|' ./internal/ratelimit
+mutant "limits are renewed" internal/ratelimit/listener.go 's|current.Until.Sub(now) < limitTTL/2|false|' ./internal/ratelimit
 mutant "a limit told to all hosts" internal/daemon/ratelimit.go 's/	r.d.engine.Write(now, register)/	_ = register/' ./platform -run AllHostsKnow
 mutant "shares are reserved" internal/quota/share.go 's/reserved += u.share/reserved += 0/' ./internal/quota
 mutant "repeated token request" internal/quota/home.go 's/usage.Ask != 0 \&\& usage.Ask == u.requestID/false/' ./internal/quota
