--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -3,30 +3,31 @@
 import "sync"
 
 const (
-	// retryShare is the part of first tries that may be tried again; it bounds
-	// the load that failures add.
-	retryShare = 0.1
-	// retryReserve lets a quiet service retry at all.
-	retryReserve = 10
+	// retryRatio is the number of retries earned per first attempt. It bounds the load that
+	// failures add.
+	retryRatio = 0.1
+	// maxRetryTokens caps the budget and is also its initial value, so that a service with
+	// little traffic can retry at all.
+	maxRetryTokens = 10
 )
 
-// budget is the retry budget of one service on one host.
-type budget struct {
+// retryBudget is the retry budget (a token bucket) of one service on one host.
+type retryBudget struct {
 	mu     sync.Mutex
 	tokens float64
 }
 
-func newBudget() *budget { return &budget{tokens: retryReserve} }
+func newRetryBudget() *retryBudget { return &retryBudget{tokens: maxRetryTokens} }
 
-// first notes a first try.
-func (b *budget) first() {
+// deposit credits the budget for a first attempt.
+func (b *retryBudget) deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+retryShare, retryReserve)
+	b.tokens = min(b.tokens+retryRatio, maxRetryTokens)
 }
 
-// retry takes a token for another try, or reports that there is none.
-func (b *budget) retry() bool {
+// withdraw takes a token for a retry, or reports that there is none.
+func (b *retryBudget) withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
@@ -36,16 +37,17 @@
 	return true
 }
 
-// charge takes a token for a try that is already spent.
-func (b *budget) charge() {
+// overdraw takes a token for an attempt that has already been made. The balance may become
+// negative.
+func (b *retryBudget) overdraw() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens--
 }
 
-// ample reports whether there is enough for tries that may well be refused.
-func (b *budget) ample() bool {
+// isAmple reports whether the budget allows attempts that are likely to be refused.
+func (b *retryBudget) isAmple() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.tokens >= retryReserve/2
+	return b.tokens >= maxRetryTokens/2
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,7 +1,7 @@
-// Package dispatch is the request path. An entry host forwards a request to an
-// owner host of its service; the owner limits, claims, queues, picks a backend
-// server, sends, and judges the answer. Every request ends in its own whole
-// answer or in a truthful Refusal.
+// Package dispatch implements the request path. An entry host forwards a request to an owner
+// host of its service. The owner applies limits, claims the idempotency key, queues, picks a
+// backend server, sends the request and validates the response. Every request ends either with
+// its own complete response or with a Refusal that says whether it may have run.
 package dispatch
 
 import (
@@ -28,65 +28,66 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// Config of a Dispatcher.
+// Config configures a Dispatcher.
 type Config struct {
-	// Forwarding sends requests to owner hosts. Off, every host picks alone.
+	// Forwarding sends requests to owner hosts. If false, every host picks backend servers
+	// itself.
 	Forwarding bool
-	// PeerScheme is http or https, for owner hosts.
+	// PeerScheme is the URL scheme for owner hosts: http or https.
 	PeerScheme string
-	// Protocol is what callers and backend servers speak.
+	// Protocol defines the headers used with callers and backend servers.
 	Protocol *protocol.Protocol
-	// Regions gives the region of each data centre.
+	// Regions maps each data centre to its region.
 	Regions region.Map
-	// BufferBytes is the longest answer that is read whole before its caller
-	// gets any of it, 0 for none. Larger mends more answers that break off and
-	// costs memory and time to the first byte.
+	// BufferBytes is the largest response that is read completely before any of it is passed
+	// to the caller, 0 for none. A larger value lets more truncated responses be retried, at
+	// the cost of memory and time to first byte.
 	BufferBytes int64
-	// BeforeWrite, if set, is called after the decision to send and before the
-	// last check. Tests hold it to freeze a host.
+	// BeforeWrite, if set, is called after the decision to send and before the check at the
+	// first byte. Tests block in it to simulate a paused host.
 	BeforeWrite func(*Request)
 }
 
-// Observer takes outcomes without blocking.
+// Observer receives outcomes. Observe must not block.
 type Observer interface {
 	Observe(o *peerpb.Observation)
 }
 
-// Quarantine knows which requests end servers, over all hosts.
+// Quarantine tracks, across all hosts, which requests crash the servers that run them.
 type Quarantine interface {
-	// Active reports whether any content is in quarantine or under suspicion here. As long
-	// as none is, requests need not be checked.
+	// Active reports whether any content is quarantined or suspected on this host. If not,
+	// requests need not be checked.
 	Active() bool
-	// Check returns the quarantine for which a request is refused now, nil if it may be
-	// sent. onTrial is set if it may be sent once, to one server.
+	// Check returns the quarantine for which a request must be refused now, or nil if it may
+	// be sent. onTrial is set if it may be sent only once, to one server.
 	Check(subject quarantine.Subject) (refused *quarantine.Quarantine, onTrial bool)
-	// Ended takes that a server ended while it had a request.
+	// Ended records that a server ended while it was processing a request.
 	Ended(subject quarantine.Subject, service, server string)
-	// Served takes that a server has answered a request whole.
+	// Served records that a server has answered a request completely.
 	Served(subject quarantine.Subject)
 }
 
 // Dispatcher serves requests. It is safe for concurrent use.
 type Dispatcher struct {
-	conf       Config
-	snapshot   func() *world.Snapshot
-	backends   *upstream.Transport
-	fates      *upstream.Fates
-	owners     *upstream.Transport
-	claims     *claims.Coordinator
-	observer   Observer
-	events     event.Recorder
-	metrics    *metrics.Metrics
-	balance    *balance.Table
-	quarantine Quarantine
-	marks      *protocol.Protocol
-	servers    *availability.Table
-	rateLimits RateLimits
-	memory     *memory.Budget
-
-	homes      homeViews
-	requestLog requestLog
-	stateLines *logging.Limit
+	conf         Config
+	snapshot     func() *world.Snapshot
+	backends     *upstream.Transport
+	fates        *upstream.Fates
+	owners       *upstream.Transport
+	claims       *claims.Coordinator
+	observer     Observer
+	events       event.Recorder
+	metrics      *metrics.Metrics
+	balance      *balance.Table
+	quarantine   Quarantine
+	proto        *protocol.Protocol
+	availability *availability.Table
+	rateLimits   RateLimits
+	memory       *memory.Budget
+
+	homes           homeViews
+	requestLog      requestLog
+	stateEventLimit *logging.Limit
 
 	mu       sync.Mutex
 	services map[string]*serviceState
@@ -94,10 +95,10 @@
 
 type serviceState struct {
 	pool   *slots.Pool
-	budget *budget
+	budget *retryBudget
 }
 
-// Parts are what a Dispatcher works with.
+// Parts are the dependencies of a Dispatcher.
 type Parts struct {
 	Snapshot func() *world.Snapshot
 	Backends *upstream.Transport
@@ -106,39 +107,39 @@
 	Observer Observer
 	Events   event.Recorder
 	Metrics  *metrics.Metrics
-	// Balance picks servers where hosts pick directly, nil with owner hosts.
+	// Balance picks servers if every host picks them itself; nil with owner hosts.
 	Balance *balance.Table
-	// Quarantine refuses requests that end servers.
+	// Quarantine refuses requests that crash servers.
 	Quarantine Quarantine
-	// Availability is what servers say of themselves.
+	// Availability holds the state that servers report in their responses.
 	Availability *availability.Table
-	// RateLimits keeps to the limits that servers name.
+	// RateLimits enforces the rate limits that servers report.
 	RateLimits RateLimits
-	// Memory bounds the bodies that are held.
+	// Memory bounds the buffered request and response bodies.
 	Memory *memory.Budget
 }
 
-// New returns a dispatcher.
+// New returns a Dispatcher.
 func New(conf Config, parts Parts) *Dispatcher {
 	return &Dispatcher{
-		conf:       conf,
-		snapshot:   parts.Snapshot,
-		backends:   parts.Backends,
-		fates:      upstream.NewFates(),
-		owners:     parts.Owners,
-		claims:     parts.Claims,
-		observer:   parts.Observer,
-		events:     parts.Events,
-		metrics:    parts.Metrics,
-		balance:    parts.Balance,
-		quarantine: parts.Quarantine,
-		marks:      conf.Protocol,
-		servers:    parts.Availability,
-		rateLimits: parts.RateLimits,
-		memory:     parts.Memory,
-		stateLines: logging.NewLimit(stateLinesPerSecond),
-		requestLog: requestLog{limit: logging.NewLimit(linesPerSecond)},
-		services:   make(map[string]*serviceState),
+		conf:            conf,
+		snapshot:        parts.Snapshot,
+		backends:        parts.Backends,
+		fates:           upstream.NewFates(),
+		owners:          parts.Owners,
+		claims:          parts.Claims,
+		observer:        parts.Observer,
+		events:          parts.Events,
+		metrics:         parts.Metrics,
+		balance:         parts.Balance,
+		quarantine:      parts.Quarantine,
+		proto:           conf.Protocol,
+		availability:    parts.Availability,
+		rateLimits:      parts.RateLimits,
+		memory:          parts.Memory,
+		stateEventLimit: logging.NewLimit(stateEventsPerSecond),
+		requestLog:      requestLog{limit: logging.NewLimit(requestLinesPerSecond)},
+		services:        make(map[string]*serviceState),
 	}
 }
 
@@ -147,21 +148,21 @@
 	defer d.mu.Unlock()
 	s, ok := d.services[name]
 	if !ok {
-		s = &serviceState{pool: slots.NewPool(), budget: newBudget()}
+		s = &serviceState{pool: slots.NewPool(), budget: newRetryBudget()}
 		d.services[name] = s
 	}
 	return s
 }
 
-// Serve answers a request or returns a *Refusal before anything was written to
-// the caller. It panics with http.ErrAbortHandler to cut an answer short.
+// Serve answers a request, or returns a *Refusal if nothing has been written to the caller. It
+// panics with http.ErrAbortHandler to abort an incomplete response.
 func (d *Dispatcher) Serve(w http.ResponseWriter, req *Request) error {
 	snap := d.snapshot()
 	view, ok := snap.Services[req.Service]
 	if !ok {
-		return notRun(errs.New(errs.KindNoRoute, "service "+req.Service+" is not configured here", "repeat the request; see config diff if it persists"), 0)
+		return refuseNotRun(errs.New(errs.KindNoRoute, "service "+req.Service+" is not configured here", "repeat the request; see config diff if it persists"), 0)
 	}
-	returnMemory, refusal := d.keepBody(req)
+	returnMemory, refusal := d.bufferBody(req)
 	defer returnMemory()
 	if refusal != nil {
 		return refusal
@@ -175,17 +176,17 @@
 		state: d.service(req.Service),
 		start: time.Now(),
 	}
-	if refusal := x.noServerInHome(view); refusal != nil {
+	if refusal := x.refuseIfNoneInHome(view); refusal != nil {
 		return refusal
 	}
 	ctx, stop := x.headerDeadline(req.in.Context())
 	defer stop()
-	if d.forwards(req, view, snap) {
+	if d.shouldForward(req, view, snap) {
 		if done, err := x.forward(ctx); done {
 			return err
 		}
 	}
-	refusal = x.truthful(x.serveOwned(ctx))
+	refusal = x.toRefusal(x.serveOwned(ctx))
 	x.logRequest(refusal)
 	if refusal == nil {
 		return nil
@@ -193,40 +194,40 @@
 	return refusal
 }
 
-// keepBody reads a small body into memory and returns what gives the memory back.
-func (d *Dispatcher) keepBody(req *Request) (returnMemory func(), refusal *Refusal) {
-	size := req.body.keepBytes()
+// bufferBody reads a small body into memory and returns a function that releases the memory.
+func (d *Dispatcher) bufferBody(req *Request) (returnMemory func(), refusal *Refusal) {
+	size := req.body.bufferBytes()
 	if !d.memory.Take(size) {
-		return func() {}, notRun(errs.New(errs.KindMemory, "this host holds as many bodies as its memory allows", "repeat the request after the time in Retry-After; add hosts"), defaultRetryAfter)
+		return func() {}, refuseNotRun(errs.New(errs.KindMemory, "this host has no memory left for request bodies", "repeat the request after the time in Retry-After; add hosts"), defaultRetryAfter)
 	}
 	returnMemory = func() { d.memory.Return(size) }
-	if err := req.body.keep(); err != nil {
-		return returnMemory, &Refusal{Outcome: OutcomeNotRun, Status: http.StatusBadRequest, Err: asTyped(err)}
+	if err := req.body.buffer(); err != nil {
+		return returnMemory, &Refusal{Outcome: OutcomeNotRun, Status: http.StatusBadRequest, Err: toTypedError(err)}
 	}
 	return returnMemory, nil
 }
 
-// truthful returns the refusal that an error is, nil for none. What may have run
-// at an earlier owner host or backend server is not told as not run.
-func (x *exchange) truthful(err error) *Refusal {
+// toRefusal converts an error to a refusal, nil for none. A request that may have run at an
+// earlier owner host or backend server is never reported as not run.
+func (x *exchange) toRefusal(err error) *Refusal {
 	if err == nil {
 		return nil
 	}
 	refusal, ok := err.(*Refusal)
 	if !ok {
-		return unknown(asTyped(err))
+		return refuseUnknown(toTypedError(err))
 	}
 	if refusal.Outcome == OutcomeNotRun && x.written {
-		return unknown(refusal.Err)
+		return refuseUnknown(refusal.Err)
 	}
 	return refusal
 }
 
-// forwards reports whether an owner host should take the request. An owner
-// whose own network looks faulty lets the other owners work.
-func (d *Dispatcher) forwards(req *Request, view *world.ServiceView, snap *world.Snapshot) bool {
+// shouldForward reports whether to forward the request to an owner host. An owner that
+// suspects its own network leaves the work to the other owners.
+func (d *Dispatcher) shouldForward(req *Request, view *world.ServiceView, snap *world.Snapshot) bool {
 	if !d.conf.Forwarding || req.ForwardedBy != "" || !req.Homes.Allow(d.conf.Regions, snap.Self.DataCentre) {
-		return false // owners are in this host's data centre
+		return false // owner hosts are in this host's data centre
 	}
 	if view.SelfOwner {
 		return snap.Distrust && len(view.Owners) > 0
@@ -234,16 +235,16 @@
 	return view.ActiveOwners > 0
 }
 
-func asTyped(err error) *errs.Error {
+func toTypedError(err error) *errs.Error {
 	if typed, ok := err.(*errs.Error); ok {
 		return typed
 	}
 	return errs.Wrap(err, errs.KindBroken, "request failed", "see the cause")
 }
 
-// ownersInOrder starts at a random active owner, so that entry hosts spread
-// their requests evenly; owners that stand by come last.
-func ownersInOrder(view *world.ServiceView) []world.OwnerView {
+// shuffleOwners returns the owners with the active ones in random order, so that entry hosts
+// spread their requests evenly. Standby owners come last.
+func shuffleOwners(view *world.ServiceView) []world.OwnerView {
 	order := slices.Clone(view.Owners)
 	active := order[:view.ActiveOwners]
 	rand.Shuffle(len(active), func(i, j int) { active[i], active[j] = active[j], active[i] })
--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -12,19 +12,18 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// maxTries bounds the servers that may run one request, where its route does
-// not say.
-const maxTries = 3
+// defaultMaxAttempts bounds the servers that may run one request if its route sets no limit.
+const defaultMaxAttempts = 3
 
-// maxSends bounds the servers that one request is sent to, those included that
-// refused it or could not be reached.
+// maxSends bounds the servers that one request is sent to, including those that refused it or
+// were unreachable.
 const maxSends = 6
 
-// maxBroken bounds the connections that break before a byte is written, such
-// as idle ones that a restarted server has closed.
-const maxBroken = 8
+// maxUnsentFailures bounds the connections that break before a byte is written, such as idle
+// connections closed by a restarted server.
+const maxUnsentFailures = 8
 
-// exchange is the work on one request on one host.
+// exchange is the state of one request on one host.
 type exchange struct {
 	d     *Dispatcher
 	w     http.ResponseWriter
@@ -37,30 +36,31 @@
 	cancel context.CancelCauseFunc
 	timer  *time.Timer
 	tried  []string
-	// written is whether a byte of the request may have reached a server that
-	// did not say it did not run it.
+	// written is set if a byte of the request may have reached a server that did not report it
+	// as not run.
 	written bool
-	// borrowed is set once a borrowed slot proved taken: never again.
-	borrowed bool
-	// free and paid say how the next try is allowed; see mayRetry.
-	free, paid bool
-	broken     int
-	// status is of the answer that was passed on, 0 for none.
+	// borrowRefused is set after a borrowed slot turned out to be in use: the request borrows
+	// no other.
+	borrowRefused bool
+	// freeRetry and retryCharged say how the next attempt is accounted for; see mayRetry.
+	freeRetry, retryCharged bool
+	unsentFailures          int
+	// status is the status code of the response that was passed on, 0 for none.
 	status int
 	trace  trace
-	// ran counts the servers that may have run the request, arrived those that
+	// attemptsRun counts the servers that may have run the request, attemptsArrived those that
 	// it may have reached.
-	ran     int
-	arrived int
-	// waiting counts the servers that have the request and have not answered yet.
-	waiting int
-	// onTrial is set for a request that may be sent to one server only, to see whether it
-	// ends it.
-	onTrial bool
+	attemptsRun     int
+	attemptsArrived int
+	// inFlight counts the servers that have the request and have not responded yet.
+	inFlight int
+	// quarantineTrial is set for a suspected request that may be sent to one server only, to
+	// see whether it ends that server.
+	quarantineTrial bool
 }
 
-// headerDeadline ends the context at the request's deadline. headerArrived
-// lifts it where the deadline is for the header only.
+// headerDeadline returns a context that is cancelled at the request's deadline. headerArrived
+// stops the timer if the deadline applies to the response header only.
 func (x *exchange) headerDeadline(parent context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(parent)
 	x.cancel = cancel
@@ -77,12 +77,12 @@
 	}
 }
 
-// serveOwned serves the request from this host's own slots.
+// serveOwned serves the request using this host's own slots or balancer.
 func (x *exchange) serveOwned(ctx context.Context) error {
 	if err := x.admit(); err != nil {
 		return err
 	}
-	if refusal := x.quarantined(); refusal != nil {
+	if refusal := x.checkQuarantine(); refusal != nil {
 		return refusal
 	}
 	claim, err := x.claim(ctx)
@@ -92,14 +92,14 @@
 	if claim != nil {
 		defer func() { claim.Release(x.written) }()
 	}
-	x.state.budget.first()
+	x.state.budget.deposit()
 	return x.tryServers(ctx)
 }
 
-// admit refuses at once what cannot be served.
+// admit refuses a request at once if all slots are in use and the queue is full.
 func (x *exchange) admit() error {
 	if x.d.balance == nil && x.state.pool.Full(x.view) {
-		return notRun(errs.New(errs.KindQueueFull, "all slots of "+x.req.Service+" are busy and its queue is full", "repeat the request after the time in Retry-After"), x.retryAfter())
+		return refuseNotRun(errs.New(errs.KindQueueFull, "all slots of "+x.req.Service+" are busy and its queue is full", "repeat the request after the time in Retry-After"), x.retryAfter())
 	}
 	return nil
 }
@@ -111,33 +111,33 @@
 	return x.state.pool.RetryAfter(x.view, time.Duration(x.view.Config.QueueWait))
 }
 
-// claim secures the idempotency key of a non-idempotent request.
+// claim claims the idempotency key of a non-idempotent request.
 func (x *exchange) claim(ctx context.Context) (*claims.Claim, error) {
 	if x.req.Idempotent || x.req.Key == "" {
 		return nil, nil
 	}
 	key := claims.Key{Service: x.req.Service, Key: x.req.Key}
-	claim, err := x.d.claims.Claim(ctx, x.claimants(), key, x.req.ID, time.Until(x.req.Deadline))
+	claim, err := x.d.claims.Claim(ctx, x.claimHosts(), key, x.req.ID, time.Until(x.req.Deadline))
 	if err == nil {
 		return claim, nil
 	}
-	typed := asTyped(err)
+	typed := toTypedError(err)
 	if typed.Kind == errs.KindClaimHeld {
 		x.d.events.Record(event.RequestDuplicate, x.req.Service, "", x.req.ID)
-		return nil, unknown(typed)
+		return nil, refuseUnknown(typed)
 	}
-	return nil, notRun(typed, 0)
+	return nil, refuseNotRun(typed, 0)
 }
 
-// tryServers sends the request to one server after another until one answers.
+// tryServers sends the request to one server after another until one responds.
 func (x *exchange) tryServers(ctx context.Context) error {
 	var last *Refusal
-	for x.ran < x.req.attempts() && len(x.tried) < maxSends && x.broken < maxBroken && !x.timeOver(ctx) {
+	for x.attemptsRun < x.req.maxAttempts() && len(x.tried) < maxSends && x.unsentFailures < maxUnsentFailures && !x.isExpired(ctx) {
 		lease, err := x.acquire(ctx)
 		if err != nil {
-			return x.final(last, err)
+			return x.finalRefusal(last, err)
 		}
-		done, refusal := x.try(ctx, lease)
+		done, refusal := x.attempt(ctx, lease)
 		if done {
 			return nil
 		}
@@ -145,39 +145,40 @@
 		if x.written && !x.req.Idempotent {
 			return last
 		}
-		if x.quarantined() != nil || !x.mayRetry() {
+		if x.checkQuarantine() != nil || !x.mayRetry() {
 			return last
 		}
 	}
-	return x.final(last, errs.New(errs.KindDeadline, "the time was over before the request was sent", "allow more time"))
+	return x.finalRefusal(last, errs.New(errs.KindDeadline, "the deadline passed before the request was sent", "allow more time"))
 }
 
-// timeOver reports whether the request has ended or its deadline has passed. The timer that
-// ends it may be late on a busy host.
-func (x *exchange) timeOver(ctx context.Context) bool {
+// isExpired reports whether the request has ended or its deadline has passed. It checks the
+// clock as well because the timer that ends the request may fire late on a busy host.
+func (x *exchange) isExpired(ctx context.Context) bool {
 	return ctx.Err() != nil || world.Passed(time.Now(), x.req.Deadline)
 }
 
-// final chooses between the last try's refusal and having no server left.
-func (x *exchange) final(last *Refusal, err error) error {
+// finalRefusal chooses between the refusal of the last attempt and one that says that no
+// server is left.
+func (x *exchange) finalRefusal(last *Refusal, err error) error {
 	noneLeft := errs.KindOf(err) == errs.KindNoBackend || last != nil && last.Err.Kind == errs.KindNoRoom
 	if noneLeft && (last == nil || last.Outcome == OutcomeNotRun) {
-		if refusal := x.noneAvailable(); refusal != nil {
+		if refusal := x.refuseIfNoneAvailable(); refusal != nil {
 			return refusal
 		}
 	}
 	if last != nil {
 		return last
 	}
-	return notRun(asTyped(err), x.retryAfter())
+	return refuseNotRun(toTypedError(err), x.retryAfter())
 }
 
-// acquire takes a slot of a server that is still in rotation by the newest
-// view: the request may have waited while a server was drained.
-func (x *exchange) acquire(ctx context.Context) (*place, error) {
+// acquire takes a slot at a server that is in rotation according to the newest view. Servers
+// may have been drained while the request was queued.
+func (x *exchange) acquire(ctx context.Context) (*serverLease, error) {
 	for {
-		x.refresh()
-		lease, err := x.place(ctx)
+		x.refreshView()
+		lease, err := x.pickServer(ctx)
 		if err != nil || x.inRotation(lease.Server) {
 			return lease, err
 		}
@@ -185,7 +186,7 @@
 	}
 }
 
-func (x *exchange) refresh() {
+func (x *exchange) refreshView() {
 	x.snap = x.d.snapshot()
 	if view, ok := x.snap.Services[x.req.Service]; ok {
 		x.view = x.d.viewFor(x.req, view)
@@ -201,48 +202,48 @@
 	return b != nil && (x.req.Idempotent || !b.IdempotentOnly)
 }
 
-// mayRetry reports whether another try is allowed. Tries that put no load on
-// any server are free; others come out of the budget, once each.
+// mayRetry reports whether another attempt is allowed. Attempts that put no load on any server
+// are free; the others are charged to the budget, once each.
 func (x *exchange) mayRetry() bool {
-	if x.free || x.paid {
-		x.free = false
+	if x.freeRetry || x.retryCharged {
+		x.freeRetry = false
 		return true
 	}
-	x.paid = x.allowRetry()
-	x.d.metrics.Retry(x.req.Service, x.paid)
-	return x.paid
+	x.retryCharged = x.allowRetry()
+	x.d.metrics.Retry(x.req.Service, x.retryCharged)
+	return x.retryCharged
 }
 
-// allowRetry asks for a retry: where hosts pick directly, of what the hosts of
-// this data centre share, else of this host's own budget.
+// allowRetry asks for a retry: from the allowance shared by the hosts of this data centre if
+// hosts pick servers themselves, else from this host's own budget.
 func (x *exchange) allowRetry() bool {
 	if x.d.balance == nil {
-		return x.state.budget.retry()
+		return x.state.budget.withdraw()
 	}
-	return x.d.balance.AllowRetry(x.req.Service, x.fleet())
+	return x.d.balance.AllowRetry(x.req.Service, x.fleetSize())
 }
 
-// fleet is how many hosts share the retry allowance.
-func (x *exchange) fleet() policy.Fleet {
+// fleetSize returns how many hosts share the retry allowance.
+func (x *exchange) fleetSize() policy.Fleet {
 	return policy.Fleet{Near: x.snap.Sharing.SegmentSize(), All: x.snap.FleetSize}
 }
 
-// try sends the request to one server. done is whether the caller has been
-// answered; otherwise refusal says what this try came to.
-func (x *exchange) try(ctx context.Context, lease *place) (done bool, refusal *Refusal) {
-	x.free = false
-	x.paid = false
-	if x.mayCopy(lease) {
-		return x.race(ctx, lease)
+// attempt sends the request to one server. done reports whether the caller has been answered;
+// otherwise refusal describes the outcome of this attempt.
+func (x *exchange) attempt(ctx context.Context, lease *serverLease) (done bool, refusal *Refusal) {
+	x.freeRetry = false
+	x.retryCharged = false
+	if x.mayHedge(lease) {
+		return x.hedge(ctx, lease)
 	}
 	defer lease.Release()
-	x.begin(lease, x.purpose())
-	return x.judge(ctx, lease, x.fetch(ctx, x.toServer(lease)))
+	x.beginAttempt(lease, x.purpose())
+	return x.handleResult(ctx, lease, x.roundTrip(ctx, x.toServer(lease)))
 }
 
-func notRunOrUnknown(written bool, err *errs.Error) *Refusal {
+func refuse(written bool, err *errs.Error) *Refusal {
 	if written {
-		return unknown(err)
+		return refuseUnknown(err)
 	}
-	return notRun(err, 0)
+	return refuseNotRun(err, 0)
 }
--- a/internal/dispatch/forward.go
+++ b/internal/dispatch/forward.go
@@ -12,24 +12,24 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// forward sends the request to an owner host. done is false if no owner took
-// it, nothing can have run, and this host should serve it itself.
+// forward sends the request to an owner host. done is false if no owner accepted it, it cannot
+// have run anywhere, and this host should serve it itself.
 func (x *exchange) forward(ctx context.Context) (done bool, err error) {
-	for _, owner := range ownersInOrder(x.view) {
-		answer, failure := x.send(ctx, x.toOwner(owner, x.forwardHeaders))
+	for _, owner := range shuffleOwners(x.view) {
+		response, failure := x.send(ctx, x.toOwner(owner, x.forwardHeaders))
 		switch {
 		case failure != nil && isCallerGone(ctx):
-			return true, notRunOrUnknown(failure.Written, asTyped(failure.Unwrap()))
+			return true, refuse(failure.Written, toTypedError(failure.Unwrap()))
 		case failure != nil && failure.Written && !x.req.Idempotent:
-			return true, unknown(asTyped(failure.Unwrap()))
+			return true, refuseUnknown(toTypedError(failure.Unwrap()))
 		case failure != nil:
 			x.written = x.written || failure.Written
 			continue
-		case x.ownerDeclined(answer):
-			answer.Finish()
+		case x.ownerDeclined(response):
+			response.Finish()
 			continue
 		}
-		return x.relay(ctx, owner, answer)
+		return x.relay(ctx, owner, response)
 	}
 	return false, nil
 }
@@ -48,13 +48,13 @@
 	}
 }
 
-// ownerDeclined reports whether the owner did not run the request for a reason
-// of its own, so that another host may.
-func (x *exchange) ownerDeclined(answer *upstream.Answer) bool {
-	if Outcome(answer.Header.Get(HeaderOutcome)) != OutcomeNotRun {
+// ownerDeclined reports whether the owner did not run the request for a reason that concerns
+// only that owner, so that another host may run it.
+func (x *exchange) ownerDeclined(response *upstream.Answer) bool {
+	if Outcome(response.Header.Get(HeaderOutcome)) != OutcomeNotRun {
 		return false
 	}
-	switch errs.Kind(answer.Header.Get(HeaderKind)) {
+	switch errs.Kind(response.Header.Get(HeaderKind)) {
 	case errs.KindStaleHost, errs.KindNoRoute, errs.KindDialFailed:
 		return true
 	default:
@@ -62,48 +62,48 @@
 	}
 }
 
-// relay passes an owner's answer to the caller.
-func (x *exchange) relay(ctx context.Context, owner world.OwnerView, answer *upstream.Answer) (done bool, err error) {
-	if answer.Header.Get(protocol.HeaderRequestID) != x.req.ID || answer.Header.Get(HeaderOutcome) == "" {
-		answer.Discard()
-		return true, unknown(errs.New(errs.KindWrongAnswer, "owner host "+owner.Host+" sent another request's answer", "ask for the outcome before repeating a non-idempotent request"))
+// relay passes an owner's response to the caller.
+func (x *exchange) relay(ctx context.Context, owner world.OwnerView, response *upstream.Answer) (done bool, err error) {
+	if response.Header.Get(protocol.HeaderRequestID) != x.req.ID || response.Header.Get(HeaderOutcome) == "" {
+		response.Discard()
+		return true, refuseUnknown(errs.New(errs.KindWrongAnswer, "owner host "+owner.Host+" sent a response to another request", "ask for the outcome before repeating a non-idempotent request"))
 	}
-	if x.written && Outcome(answer.Header.Get(HeaderOutcome)) == OutcomeNotRun {
-		answer.Finish()
-		return true, unknown(errs.New(errs.KindBroken, "an owner host broke off before owner host "+owner.Host+" refused the request", "repeat the request"))
+	if x.written && Outcome(response.Header.Get(HeaderOutcome)) == OutcomeNotRun {
+		response.Finish()
+		return true, refuseUnknown(errs.New(errs.KindBroken, "the connection to an owner host broke before owner host "+owner.Host+" refused the request", "repeat the request"))
 	}
 	x.headerArrived()
 	tried := []string{owner.Host}
-	copying := &copier{
-		w:       x.w,
-		answer:  answer,
-		outcome: Outcome(answer.Header.Get(HeaderOutcome)),
-		id:      x.req.ID,
-		idName:  x.d.marks.RequestID,
-		session: x.req.Session,
-		reopen:  func(rangeHeaders rangeRequest) *upstream.Answer { return x.reopenAtOwner(ctx, rangeHeaders, &tried) },
-		resumed: x.resumed,
+	copier := &responseCopier{
+		w:        x.w,
+		response: response,
+		outcome:  Outcome(response.Header.Get(HeaderOutcome)),
+		id:       x.req.ID,
+		idHeader: x.d.proto.RequestID,
+		session:  x.req.Session,
+		reopen:   func(rangeHeaders rangeRequest) *upstream.Answer { return x.reopenAtOwner(ctx, rangeHeaders, &tried) },
+		onResume: x.recordResume,
 	}
-	copying.setResumable(x.req)
-	if err := copying.run(); err != nil {
+	copier.setResumable(x.req)
+	if err := copier.run(); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	return true, nil
 }
 
-// reopenAtOwner continues a download at another owner.
+// reopenAtOwner resumes a download at another owner host.
 func (x *exchange) reopenAtOwner(ctx context.Context, at rangeRequest, tried *[]string) *upstream.Answer {
-	for _, owner := range ownersInOrder(x.view) {
+	for _, owner := range shuffleOwners(x.view) {
 		if slices.Contains(*tried, owner.Host) {
 			continue
 		}
 		*tried = append(*tried, owner.Host)
-		answer, failure := x.send(ctx, x.toOwner(owner, func(h http.Header) {
+		response, failure := x.send(ctx, x.toOwner(owner, func(h http.Header) {
 			x.forwardHeaders(h)
-			at.set(h)
+			at.setHeaders(h)
 		}))
 		if failure == nil {
-			return answer
+			return response
 		}
 	}
 	return nil
--- a/internal/dispatch/forward_test.go
+++ b/internal/dispatch/forward_test.go
@@ -14,8 +14,8 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// refusedByOwner is an owner host's answer that the request has not run.
-func refusedByOwner(id string) *upstream.Answer {
+// refusalOfOwner returns an owner host's response that it has not run the request.
+func refusalOfOwner(id string) *upstream.Answer {
 	header := http.Header{}
 	header.Set(protocol.HeaderRequestID, id)
 	header.Set(HeaderOutcome, string(OutcomeNotRun))
@@ -23,36 +23,38 @@
 	return &upstream.Answer{Response: &http.Response{StatusCode: http.StatusServiceUnavailable, Header: header, Body: io.NopCloser(strings.NewReader(""))}}
 }
 
-// A request that may have run at one owner host is not told as not run because
-// the next one refused it.
+// A request that may have run at one owner host must not be reported as not run because the
+// next owner refused it.
 func TestRefusalAfterAnOwnerBrokeOff(t *testing.T) {
 	x := &exchange{req: &Request{ID: "r1", Idempotent: true}, w: httptest.NewRecorder(), written: true}
-	done, err := x.relay(context.Background(), world.OwnerView{Host: "h2"}, refusedByOwner("r1"))
+	done, err := x.relay(context.Background(), world.OwnerView{Host: "h2"}, refusalOfOwner("r1"))
 	refusal, ok := err.(*Refusal)
 	if !done || !ok || refusal.Outcome != OutcomeUnknown {
 		t.Errorf("done %t, error %v; want the outcome unknown", done, err)
 	}
 }
 
-// A request that makes a host panic while it is sent apart from its handler fails alone.
-func TestPanicWhileSendingEndsNoHost(t *testing.T) {
+// A request that causes a panic on the goroutine that sends it fails alone: the panic must not
+// crash the host.
+func TestPanicWhileSendingDoesNotCrashHost(t *testing.T) {
 	in := httptest.NewRequest(http.MethodGet, "/x", nil)
 	req := NewRequest(in)
-	if err := req.body.keep(); err != nil {
+	if err := req.body.buffer(); err != nil {
 		t.Fatal(err)
 	}
-	x := &exchange{d: &Dispatcher{marks: protocol.Own()}, req: req}
-	got := x.fetchApart(context.Background(), destination{adjust: func(http.Header) { panic("planted") }})
+	x := &exchange{d: &Dispatcher{proto: protocol.Own()}, req: req}
+	got := x.roundTripRecovered(context.Background(), destination{adjust: func(http.Header) { panic("planted") }})
 	if got.failure == nil || !got.failure.Written {
-		t.Errorf("got %+v, a failure that may have run expected", got)
+		t.Errorf("got %+v, want a failure of a request that may have run", got)
 	}
 }
 
-// The same holds where this host itself refuses it in the end.
+// A request that may have run at an owner host must not be reported as not run because this host
+// refuses it in the end.
 func TestRefusalHereAfterAnOwnerBrokeOff(t *testing.T) {
 	for written, want := range map[bool]Outcome{true: OutcomeUnknown, false: OutcomeNotRun} {
 		x := &exchange{req: &Request{ID: "r1"}, written: written}
-		got := x.truthful(notRun(errs.New(errs.KindQueueFull, "full", "repeat it"), 0))
+		got := x.toRefusal(refuseNotRun(errs.New(errs.KindQueueFull, "full", "repeat it"), 0))
 		if got.Outcome != want {
 			t.Errorf("written %t: outcome %s, want %s", written, got.Outcome, want)
 		}
--- a/internal/dispatch/homes.go
+++ b/internal/dispatch/homes.go
@@ -9,74 +9,74 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// A request with home regions sees the backend servers there and no others, so that every way
-// to send keeps to them: first sends, retries, copies, trials and the rest of a download. The
-// last look before the first byte checks it once more.
+// A request with home regions sees only the backend servers in those regions, so that every
+// kind of send is restricted to them: first sends, retries, copies, trials and resumed
+// downloads. checkServer verifies this once more before the first byte.
 
-// maxHomeViews bounds the views that are kept, some 150 bytes a server each.
+// maxHomeViews bounds the cached views. Each takes about 150 bytes per server.
 const maxHomeViews = 64
 
-// homeViews keeps the views of services that requests with homes see, the newest of each. It is
-// safe for concurrent use.
+// homeViews caches the filtered service views for requests with home regions, only the newest
+// of each. It is safe for concurrent use.
 type homeViews struct {
 	mu    sync.Mutex
-	views map[homesAt]homeView
+	views map[homeViewKey]homeView
 }
 
-// homesAt names a service and the homes of a request.
-type homesAt struct{ service, homes string }
+// homeViewKey identifies a service and a set of home regions.
+type homeViewKey struct{ service, homes string }
 
-// homeView is what a view of a service has within some homes.
-type homeView struct{ whole, within *world.ServiceView }
+// homeView is a service view and its restriction to some home regions.
+type homeView struct{ source, filtered *world.ServiceView }
 
-// viewFor returns what a request may see of a service.
+// viewFor returns the part of a service view that a request may use.
 func (d *Dispatcher) viewFor(req *Request, whole *world.ServiceView) *world.ServiceView {
 	if !req.Homes.Bound() {
 		return whole
 	}
 	d.homes.mu.Lock()
 	defer d.homes.mu.Unlock()
-	at := homesAt{service: req.Service, homes: req.Homes.String()}
-	if held, known := d.homes.views[at]; known && held.whole == whole {
-		return held.within
+	at := homeViewKey{service: req.Service, homes: req.Homes.String()}
+	if held, known := d.homes.views[at]; known && held.source == whole {
+		return held.filtered
 	}
 	if d.homes.views == nil || len(d.homes.views) >= maxHomeViews {
-		d.homes.views = make(map[homesAt]homeView)
+		d.homes.views = make(map[homeViewKey]homeView)
 	}
-	within := whole.Within(func(dataCentre string) bool { return req.Homes.Allow(d.conf.Regions, dataCentre) })
-	d.homes.views[at] = homeView{whole: whole, within: within}
-	return within
+	filtered := whole.Within(func(dataCentre string) bool { return req.Homes.Allow(d.conf.Regions, dataCentre) })
+	d.homes.views[at] = homeView{source: whole, filtered: filtered}
+	return filtered
 }
 
-// noServerInHome refuses at once a request that no server of its homes can run, nil if there is
-// one. whole is the service with all its servers.
-func (x *exchange) noServerInHome(whole *world.ServiceView) *Refusal {
+// refuseIfNoneInHome returns a refusal if none of the service's servers is in the request's
+// home regions, else nil. whole is the unfiltered service view.
+func (x *exchange) refuseIfNoneInHome(whole *world.ServiceView) *Refusal {
 	if !x.req.Homes.Bound() || len(x.view.Backends) > 0 || len(whole.Backends) == 0 {
 		return nil
 	}
 	err := x.outsideHome("no backend server of " + x.req.Service + " is in the home regions of the request: " + x.req.Homes.String())
-	return notRun(err, defaultRetryAfter)
+	return refuseNotRun(err, defaultRetryAfter)
 }
 
 func (x *exchange) outsideHome(message string) *errs.Error {
 	return errs.New(errs.KindOutsideHome, message, "start servers in a home region, or change home_regions")
 }
 
-// claimants are the hosts that may know the request's idempotency key.
-func (x *exchange) claimants() claims.Claimable {
+// claimHosts returns the hosts that may hold the claim on the request's idempotency key.
+func (x *exchange) claimHosts() claims.Claimable {
 	among := claims.Claimable{Hosts: x.snap.Claimants, Addresses: x.snap.ClaimantAddress}
 	if !x.req.Homes.Bound() {
 		return among
 	}
 	among.Hosts = nil
 	for _, node := range x.snap.Claimants {
-		if x.mayHoldKey(node) {
+		if x.mayHoldClaim(node) {
 			among.Hosts = append(among.Hosts, node)
 		}
 	}
 	return among
 }
 
-func (x *exchange) mayHoldKey(node rendezvous.Node) bool {
+func (x *exchange) mayHoldClaim(node rendezvous.Node) bool {
 	return x.req.Homes.Allow(x.d.conf.Regions, node.Zone)
 }
--- a/internal/dispatch/ratelimit.go
+++ b/internal/dispatch/ratelimit.go
@@ -14,33 +14,36 @@
 	"github.com/pearshelf/pearshelf/internal/ratelimit"
 )
 
-// RateLimits keeps what all hosts together send to a backend server within the rate limit that
-// it names.
+// RateLimits keeps the combined request rate of all hosts to a backend server within the rate
+// limit that the server reports.
 type RateLimits interface {
-	// Heard takes what an answer says of its server's limit. sentAt is when the request was
-	// sent.
-	Heard(server process.Server, sentAt time.Time, said protocol.RateLimit)
-	// Take asks for a token, the right to send one request to a server. The error is that of ctx.
+	// Heard records what a response reports about its server's limit. sentAt is when the
+	// request was sent.
+	Heard(server process.Server, sentAt time.Time, reported protocol.RateLimit)
+	// Take requests a token, the right to send one request to a server. The error is that of
+	// ctx.
 	Take(ctx context.Context, limit ratelimit.Limit) (quota.Verdict, error)
 	// Return gives back the token of a request of which no byte was sent.
 	Return(server process.Server)
-	// Promise is when a request may come back that any of these servers would do for.
+	// Promise returns after which time a request that any of these servers can run may be
+	// repeated.
 	Promise(servers []process.Server) time.Duration
 }
 
-// tokenLife is how long a token holds: a host that stood still meanwhile would send what other
-// hosts have sent since.
-const tokenLife = time.Second
+// tokenLifetime is how long a token is valid. A host that was paused for longer would add its
+// request to those that other hosts have sent in the meantime.
+const tokenLifetime = time.Second
 
-// sendToken is the right to send one request to a server that names a rate limit.
+// sendToken is the right to send one request to a server that reports a rate limit.
 type sendToken struct {
 	server  process.Server
-	takenAt time.Time // of a clock that goes on while the machine is suspended
+	takenAt time.Time // on a clock that keeps running while the machine is suspended
 }
 
-func (t *sendToken) isOld(now time.Time) bool { return now.Sub(t.takenAt) > tokenLife }
+func (t *sendToken) isExpired(now time.Time) bool { return now.Sub(t.takenAt) > tokenLifetime }
 
-// takeToken asks for a token to send to a server, nil if it names no limit.
+// takeToken requests a token to send to a server. It returns nil if the server reports no
+// limit.
 func (x *exchange) takeToken(ctx context.Context, to destination) (*sendToken, *errs.Error) {
 	limit, limited := x.d.snapshot().RateLimits.Of(to.server)
 	if !limited {
@@ -51,36 +54,36 @@
 	case errors.Is(err, context.DeadlineExceeded):
 		return nil, errs.Wrap(err, errs.KindDeadline, "the deadline passed before the request was sent", "allow more time")
 	case err != nil:
-		return nil, errs.Wrap(err, errs.KindCanceled, "caller went away", "nothing to do")
+		return nil, errs.Wrap(err, errs.KindCanceled, "caller disconnected", "nothing to do")
 	case !verdict.OK:
-		x.d.servers.NoteNoRoom(to.server, verdict.AskAgain)
-		return nil, x.noRoom(to, "all hosts together have sent what its rate limit allows")
+		x.d.availability.NoteNoRoom(to.server, verdict.AskAgain)
+		return nil, x.rateLimitError(to, "its rate limit is used up by the requests of all hosts")
 	}
 	return &sendToken{server: to.server, takenAt: boottime.Now()}, nil
 }
 
-// checkToken forbids a send that needs a token and has none, or one that is too old: the server
-// may have named its limit since it was picked.
+// checkToken forbids a send that needs a token and has none, which happens if the server has
+// reported its limit only since it was picked, or whose token has expired.
 func (x *exchange) checkToken(to destination, t *sendToken) error {
 	_, limited := x.d.snapshot().RateLimits.Of(to.server)
 	switch {
 	case !limited:
 		return nil
 	case t == nil:
-		return x.noRoom(to, "it named a rate limit before the request was sent")
-	case t.isOld(boottime.Now()):
-		return x.noRoom(to, "this host stood still before the request was sent")
+		return x.rateLimitError(to, "it reported a rate limit before the request was sent")
+	case t.isExpired(boottime.Now()):
+		return x.rateLimitError(to, "this host was paused before the request was sent")
 	default:
 		return nil
 	}
 }
 
-func (x *exchange) noRoom(to destination, why string) *errs.Error {
+func (x *exchange) rateLimitError(to destination, why string) *errs.Error {
 	x.d.metrics.SendWithheld(availability.NoRoom.String())
-	return errs.New(errs.KindNoRoom, "backend server "+to.server.ID+" got no request: "+why, "repeat the request after the time in Retry-After")
+	return errs.New(errs.KindNoRoom, "backend server "+to.server.ID+" was not sent the request: "+why, "repeat the request after the time in Retry-After")
 }
 
-// returnToken gives back a token that was not used.
+// returnToken gives back an unused token.
 func (x *exchange) returnToken(t *sendToken) {
 	if t != nil {
 		x.d.rateLimits.Return(t.server)
--- a/internal/dispatch/ratelimit_test.go
+++ b/internal/dispatch/ratelimit_test.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// A token is of no use to a host that stood still: others have had the room since.
-func TestTokenGrowsOld(t *testing.T) {
+// A token expires because other hosts may have used its share of the rate limit while this host
+// was paused.
+func TestTokenExpires(t *testing.T) {
 	taken := time.Unix(1_700_000_000, 0)
 	token := &sendToken{takenAt: taken}
-	if token.isOld(taken.Add(tokenLife)) {
-		t.Error("it is old before its time")
+	if token.isExpired(taken.Add(tokenLifetime)) {
+		t.Error("token expired before its lifetime was over")
 	}
-	if !token.isOld(taken.Add(tokenLife + time.Nanosecond)) {
-		t.Error("it is never old")
+	if !token.isExpired(taken.Add(tokenLifetime + time.Nanosecond)) {
+		t.Error("token did not expire after its lifetime")
 	}
 }
--- a/internal/dispatch/refusal.go
+++ b/internal/dispatch/refusal.go
@@ -7,12 +7,12 @@
 	"github.com/pearshelf/pearshelf/internal/errs"
 )
 
-// Outcome is what a caller is told about its request.
+// Outcome is the result of a request as reported to its caller.
 type Outcome string
 
 // Outcomes.
 const (
-	// OutcomeComplete: the answer is a backend server's own, whole.
+	// OutcomeComplete: the response is a backend server's own and complete.
 	OutcomeComplete Outcome = "complete"
 	// OutcomeNotRun: no backend server ran the request; repeating it is safe.
 	OutcomeNotRun Outcome = "not-run"
@@ -20,18 +20,18 @@
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Refusal is the final answer to a request that got none from a backend
-// server. It is sent at once.
+// Refusal is the final response to a request that got none from a backend server. It is sent
+// without delay.
 type Refusal struct {
 	Outcome Outcome
 	// Status is the HTTP status code.
 	Status int
-	// RetryAfter tells the caller when to come back; zero where it should not.
+	// RetryAfter tells the caller when to retry; zero if it should not.
 	RetryAfter time.Duration
 	Err        *errs.Error
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (r *Refusal) Error() string { return string(r.Outcome) + ": " + r.Err.Error() }
 
 // Unwrap returns the typed cause.
@@ -39,14 +39,14 @@
 
 const defaultRetryAfter = time.Second
 
-func notRun(err *errs.Error, retryAfter time.Duration) *Refusal {
+func refuseNotRun(err *errs.Error, retryAfter time.Duration) *Refusal {
 	if retryAfter <= 0 {
 		retryAfter = defaultRetryAfter
 	}
 	return &Refusal{Outcome: OutcomeNotRun, Status: http.StatusServiceUnavailable, RetryAfter: retryAfter, Err: err}
 }
 
-func unknown(err *errs.Error) *Refusal {
+func refuseUnknown(err *errs.Error) *Refusal {
 	status := http.StatusBadGateway
 	switch err.Kind {
 	case errs.KindDeadline:
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -21,7 +21,7 @@
 	"github.com/pearshelf/pearshelf/internal/upstream"
 )
 
-// Headers of the contract with callers.
+// Headers exchanged with callers.
 const (
 	HeaderIdempotencyKey = "Idempotency-Key"
 	HeaderSession        = "Pearshelf-Session"
@@ -40,67 +40,68 @@
 const (
 	headerPrefix = "Pearshelf-"
 
-	// replayLimitBytes is the largest body kept for another try.
+	// replayLimitBytes is the size of the largest body that is buffered for retries.
 	replayLimitBytes = 64 << 10
 )
 
-// hopByHop are the headers that concern one connection (RFC 9110, 7.6.1).
+// hopByHop lists the headers that apply to a single connection (RFC 9110, section 7.6.1).
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// Request is one caller's request on its way.
+// Request is a caller's request in progress.
 type Request struct {
 	// ID is unique for each call.
 	ID string
-	// Service is the route's.
+	// Service is the service of the request's route.
 	Service string
-	// Idempotent is the route's declaration.
+	// Idempotent is set if the route is declared idempotent.
 	Idempotent bool
-	// Key is the caller's own identity of the request, may be empty.
+	// Key is the caller's idempotency key, may be empty.
 	Key string
-	// Session may be empty.
+	// Session is the session ID for affinity, may be empty.
 	Session string
-	// Customer is the name of the one whose key the caller has, empty for none. It is
-	// settled once, when the request arrives, and goes with each of its sends.
+	// Customer is the name of the customer whose key the caller presented, empty for none. It
+	// is set once, when the request arrives, and is sent with every attempt.
 	Customer string
-	// HideKey keeps the caller's Authorization header here: it is a customer's key.
+	// HideKey keeps the caller's Authorization header from backend servers, because it
+	// contains a customer's key.
 	HideKey bool
-	// Deadline is for the answer's header, and for the whole answer if the
-	// caller set it (Explicit).
+	// Deadline applies to the response header, and to the whole response if the caller set it
+	// (Explicit).
 	Deadline time.Time
 	Explicit bool
 	// Attempts is how many backend servers may run the request, 0 for the default.
 	Attempts int
 	// Objective is the route's latency objective, 0 for none.
 	Objective time.Duration
-	// Priority is the rank in overload, 0 the highest.
+	// Priority is the rank under overload, 0 being the highest.
 	Priority int
-	// Group names requests with answers of about one size: their route.
+	// Group identifies requests with responses of similar size: their route.
 	Group string
-	// Homes are where the request may be run, and to which hosts anything of it may go.
+	// Homes restricts where the request may run, and which hosts may receive any of its data.
 	Homes region.Homes
-	// ForwardedBy is the entry host, on an owner.
+	// ForwardedBy is the entry host if this host is an owner that got the request from it.
 	ForwardedBy string
 
 	in   *http.Request
 	body *replayBody
 
-	subjectOnce sync.Once
-	subjectKept quarantine.Subject
+	subjectOnce   sync.Once
+	cachedSubject quarantine.Subject
 }
 
-// attempts is how many backend servers may run the request.
-func (r *Request) attempts() int {
+// maxAttempts returns how many backend servers may run the request.
+func (r *Request) maxAttempts() int {
 	if r.Attempts > 0 {
 		return r.Attempts
 	}
-	return maxTries
+	return defaultMaxAttempts
 }
 
-// Bound makes a route's timeout the caller's deadline if that is sooner: the
-// caller then has its final answer in time.
+// Bound replaces the deadline by a route's timeout if that is sooner, so that the caller has
+// its final response in time.
 func (r *Request) Bound(timeout time.Duration) {
 	if timeout <= 0 {
 		return
@@ -111,52 +112,52 @@
 	}
 }
 
-// NewRequest returns a request whose content comes from in.
+// NewRequest returns a Request for the incoming HTTP request in.
 func NewRequest(in *http.Request) *Request {
 	return &Request{in: in, body: &replayBody{source: in.Body, length: in.ContentLength, streamed: IsStreamed(in)}}
 }
 
-// replayBody hands out a request's body for one or more tries.
+// replayBody provides a request's body to one or more attempts.
 type replayBody struct {
 	source   io.ReadCloser
 	length   int64 // -1 if unknown
 	streamed bool
-	kept     []byte
-	isKept   bool
+	data     []byte
+	buffered bool
 	consumed bool
-	// trailer is called at the end of the caller's own stream.
+	// trailer is called at the end of the caller's stream.
 	trailer func()
 }
 
-// keepBytes is how much memory keep needs.
-func (b *replayBody) keepBytes() int64 {
-	if b.streamed || b.isKept {
+// bufferBytes is how much memory buffer needs.
+func (b *replayBody) bufferBytes() int64 {
+	if b.streamed || b.buffered {
 		return 0
 	}
 	return max(b.length, 0)
 }
 
-// keep reads a small body into memory, so that it can be sent again.
-func (b *replayBody) keep() error {
-	if b.streamed || b.isKept {
+// buffer reads a small body into memory, so that it can be sent again.
+func (b *replayBody) buffer() error {
+	if b.streamed || b.buffered {
 		return nil
 	}
 	kept, err := io.ReadAll(b.source)
 	if err != nil {
-		return errs.Wrap(err, errs.KindBadRequest, "request body broke off", "send the whole body that Content-Length announces")
+		return errs.Wrap(err, errs.KindBadRequest, "request body truncated", "send the whole body that Content-Length announces")
 	}
-	b.kept = kept
-	b.isKept = true
+	b.data = kept
+	b.buffered = true
 	return nil
 }
 
-// open returns the body for a try, or false if it cannot be had again.
+// open returns the body for an attempt, or false if it has already been consumed.
 func (b *replayBody) open() (io.ReadCloser, bool) {
 	switch {
-	case b.isKept && len(b.kept) == 0:
+	case b.buffered && len(b.data) == 0:
 		return upstream.Body(nil), true
-	case b.isKept:
-		return io.NopCloser(bytes.NewReader(b.kept)), true
+	case b.buffered:
+		return io.NopCloser(bytes.NewReader(b.data)), true
 	case b.consumed:
 		return nil, false
 	default:
@@ -164,14 +165,14 @@
 	}
 }
 
-// IsStreamed reports whether a request's body is passed on as it comes, because
-// it is too long to keep or of unknown length.
+// IsStreamed reports whether a request's body is streamed, because it is too long to buffer or
+// of unknown length.
 func IsStreamed(r *http.Request) bool {
 	return r.ContentLength < 0 || r.ContentLength > replayLimitBytes
 }
 
-// consumingReader notes that the caller's own stream has been read from. It
-// does not close the stream, which is the server's to close.
+// consumingReader records that the caller's stream has been read from. It does not close the
+// stream: that is up to the HTTP server.
 type consumingReader struct{ body *replayBody }
 
 func (r *consumingReader) Read(p []byte) (int, error) {
@@ -185,11 +186,11 @@
 
 func (r *consumingReader) Close() error { return nil }
 
-// outgoing makes the request for a backend server or owner host.
-func (r *Request) outgoing(ctx context.Context, scheme, address string, marks *protocol.Protocol) (*http.Request, error) {
+// outgoing returns the HTTP request to send to a backend server or owner host.
+func (r *Request) outgoing(ctx context.Context, scheme, address string, proto *protocol.Protocol) (*http.Request, error) {
 	body, ok := r.body.open()
 	if !ok {
-		return nil, errs.New(errs.KindBodyConsumed, "the request body has been passed on already", "repeat the request")
+		return nil, errs.New(errs.KindBodyConsumed, "the request body has already been consumed", "repeat the request")
 	}
 	url := *r.in.URL
 	url.Scheme = scheme
@@ -201,59 +202,59 @@
 		Header:        r.in.Header.Clone(),
 		Body:          body,
 		ContentLength: r.body.length,
-		Trailer:       r.trailer(marks),
+		Trailer:       r.trailer(proto),
 		Proto:         "HTTP/1.1",
 		ProtoMajor:    1,
 		ProtoMinor:    1,
 	}
 	stripHopByHop(out.Header)
-	stripOwn(out.Header)
-	r.hideCustomer(out.Header, marks)
+	stripReserved(out.Header)
+	r.hideCustomer(out.Header, proto)
 	if r.Customer != "" {
-		out.Header.Set(marks.Customer, r.Customer)
+		out.Header.Set(proto.Customer, r.Customer)
 	}
 	if r.Session != "" {
 		out.Header.Set(HeaderSession, r.Session)
 	}
-	out.Header.Set(marks.RequestID, r.ID)
-	out.Header.Set(marks.Deadline, deadlineMs(r.Deadline))
+	out.Header.Set(proto.RequestID, r.ID)
+	out.Header.Set(proto.Deadline, deadlineMs(r.Deadline))
 	if _, given := out.Header["User-Agent"]; !given {
-		out.Header.Set("User-Agent", "") // keeps the Transport from adding its own
+		out.Header.Set("User-Agent", "") // keeps the transport from adding its own
 	}
 	return out.WithContext(ctx), nil
 }
 
-// hideCustomer removes the customer's key, and whatever the caller sent under the name
-// of the header that names the customer.
-func (r *Request) hideCustomer(h http.Header, marks *protocol.Protocol) {
+// hideCustomer removes the customer's key, and any header that the caller sent under the name
+// of the one that names the customer.
+func (r *Request) hideCustomer(h http.Header, proto *protocol.Protocol) {
 	for name := range h {
-		if sameHeader(name, marks.Customer) || r.HideKey && sameHeader(name, customer.HeaderAuthorization) {
+		if sameHeader(name, proto.Customer) || r.HideKey && sameHeader(name, customer.HeaderAuthorization) {
 			delete(h, name)
 		}
 	}
 }
 
-// sameHeader compares names as the most careless of backend servers may: in any case,
-// and with an underscore for a hyphen, as gateway interfaces do (RFC 3875, 4.1.18).
+// sameHeader compares header names as the most lenient backend server may: ignoring case, and
+// treating an underscore as a hyphen, as CGI gateways do (RFC 3875, section 4.1.18).
 func sameHeader(a, b string) bool {
 	return len(a) == len(b) && strings.EqualFold(strings.ReplaceAll(a, "_", "-"), strings.ReplaceAll(b, "_", "-"))
 }
 
-// trailer returns the trailer fields that are passed on, which have values once the
-// body was read to its end.
-func (r *Request) trailer(marks *protocol.Protocol) http.Header {
+// trailer returns the trailer fields to forward. They have values once the body has been read
+// to its end.
+func (r *Request) trailer(proto *protocol.Protocol) http.Header {
 	if len(r.in.Trailer) == 0 {
 		return nil
 	}
-	passed := r.in.Trailer.Clone()
-	stripOwn(passed)
-	r.hideCustomer(passed, marks)
+	forwarded := r.in.Trailer.Clone()
+	stripReserved(forwarded)
+	r.hideCustomer(forwarded, proto)
 	r.body.trailer = func() {
-		for name := range passed {
-			passed[name] = r.in.Trailer[name]
+		for name := range forwarded {
+			forwarded[name] = r.in.Trailer[name]
 		}
 	}
-	return passed
+	return forwarded
 }
 
 // deadlineMs is the time left, at least 1 ms.
@@ -275,8 +276,8 @@
 	}
 }
 
-// stripOwn removes the fleet's headers, which no other party may set.
-func stripOwn(h http.Header) {
+// stripReserved removes the fleet's own headers, which no other party may set.
+func stripReserved(h http.Header) {
 	for name := range h {
 		if strings.HasPrefix(name, headerPrefix) {
 			delete(h, name)
@@ -284,7 +285,7 @@
 	}
 }
 
-// isCallerGone reports whether the caller itself ended the request.
+// isCallerGone reports whether the caller itself cancelled the request.
 func isCallerGone(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), context.Canceled)
 }
--- /dev/null
+++ b/internal/dispatch/result.go
@@ -0,0 +1,143 @@
+package dispatch
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"strconv"
+
+	"github.com/pearshelf/pearshelf/internal/api/peerpb"
+	"github.com/pearshelf/pearshelf/internal/errs"
+	"github.com/pearshelf/pearshelf/internal/event"
+	"github.com/pearshelf/pearshelf/internal/policy"
+	"github.com/pearshelf/pearshelf/internal/upstream"
+	"github.com/pearshelf/pearshelf/internal/world"
+)
+
+// handleResult processes the result of one send of the request. done reports whether the
+// caller has been answered.
+func (x *exchange) handleResult(ctx context.Context, lease *serverLease, result sendResult) (done bool, refusal *Refusal) {
+	if result.failure != nil {
+		return false, x.handleFailure(ctx, lease, result.failure)
+	}
+	response := result.response
+	x.attemptsArrived++
+	reportLoad(lease, result.reported)
+	lease.attempt.reported = formatState(result.reported)
+	lease.attempt.namesRateLimit = result.reported.Limit.Named
+	if result.kind == responseNotRun {
+		return false, x.handleNotRun(lease, response)
+	}
+	x.written = true
+	x.attemptsRun++
+	if result.kind == responseMismatched {
+		return false, x.handleMismatch(lease, response)
+	}
+	if result.truncated != nil {
+		response.Discard()
+		lease.attempt.finish("cut-short")
+		x.recordFate(lease)
+		x.tried = append(x.tried, lease.Server.ID)
+		x.observe(lease, peerpb.Observation_KIND_FAILED, 0)
+		return false, refuseUnknown(x.truncationError(ctx, result.truncated))
+	}
+	if response.StatusCode >= http.StatusInternalServerError {
+		return x.handleServerError(ctx, lease, response)
+	}
+	x.streamResponse(ctx, lease, response)
+	return true, nil
+}
+
+// handleNotRun records that the server did not run the request.
+func (x *exchange) handleNotRun(lease *serverLease, response *upstream.Answer) *Refusal {
+	response.Finish()
+	lease.attempt.finish("not-run/" + strconv.Itoa(response.StatusCode))
+	if x.isMisdirected(response) {
+		// Another server has the address: the intended one is gone.
+		x.tried = append(x.tried, lease.Server.ID)
+		x.observe(lease, peerpb.Observation_KIND_UNREACHABLE, 0)
+	} else {
+		x.recordShed(lease)
+	}
+	return refuse(x.written, errs.New(errs.KindShed, "backend server "+lease.Server.ID+" shed the request", "repeat the request after the time in Retry-After"))
+}
+
+// handleMismatch discards a response that belongs to another request or is not from the
+// server.
+func (x *exchange) handleMismatch(lease *serverLease, response *upstream.Answer) *Refusal {
+	response.Discard()
+	lease.attempt.finish("wrong-answer")
+	x.tried = append(x.tried, lease.Server.ID)
+	x.observe(lease, peerpb.Observation_KIND_FAILED, 0)
+	x.d.events.Record(event.RequestWrong, x.req.Service, lease.Server.ID, "response carries another request's ID, or no signature")
+	return refuseUnknown(errs.New(errs.KindWrongAnswer, "backend server "+lease.Server.ID+" sent a response that does not belong to this request", "ask for the outcome before repeating a non-idempotent request"))
+}
+
+// truncationError distinguishes a deadline that passed while the body was read from a broken
+// connection.
+func (x *exchange) truncationError(ctx context.Context, err error) *errs.Error {
+	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
+		return errs.Wrap(err, errs.KindDeadline, "the response was not complete before the deadline", "allow more time or ask for the outcome")
+	}
+	return toTypedError(err)
+}
+
+// recordShed records that a server had no free slot. A borrowed slot was only a guess: its
+// attempt is charged to the retry budget, and the request may still wait for one of this
+// host's own slots.
+func (x *exchange) recordShed(lease *serverLease) {
+	lease.done.Outcome = policy.Shed
+	if lease.Borrowed {
+		x.state.budget.overdraw()
+		x.borrowRefused = true
+		x.freeRetry = true
+		return
+	}
+	x.tried = append(x.tried, lease.Server.ID)
+}
+
+// handleServerError retries an idempotent request at another server. If that is not possible,
+// it passes the server's own error to the caller.
+func (x *exchange) handleServerError(ctx context.Context, lease *serverLease, response *upstream.Answer) (done bool, refusal *Refusal) {
+	x.tried = append(x.tried, lease.Server.ID)
+	elsewhere := x.req.Idempotent && x.attemptsRun < x.req.maxAttempts() && len(x.tried) < len(x.view.Backends)
+	if x.inFlight == 0 && (!elsewhere || !x.mayRetry()) {
+		x.streamResponse(ctx, lease, response)
+		return true, nil
+	}
+	response.Finish()
+	lease.attempt.finish("error/" + strconv.Itoa(response.StatusCode))
+	x.observe(lease, peerpb.Observation_KIND_FAILED, response.FirstByte)
+	return false, refuseUnknown(errs.New(errs.KindBroken, "backend server "+lease.Server.ID+" responded with a server error", "repeat the request"))
+}
+
+// isMisdirected reports whether the server that responded is not the intended one.
+func (x *exchange) isMisdirected(response *upstream.Answer) bool {
+	return x.d.proto.Target != "" && response.StatusCode == http.StatusMisdirectedRequest
+}
+
+// isOwnResponse reports whether a response belongs to this request and is from the server.
+func (x *exchange) isOwnResponse(response *upstream.Answer) bool {
+	return x.isResponseTo(response, x.view)
+}
+
+func (x *exchange) isResponseTo(response *upstream.Answer, view *world.ServiceView) bool {
+	proto := x.d.proto
+	success := response.StatusCode < http.StatusMultipleChoices
+	if success && proto.Signature != "" && response.Header.Get(proto.Signature) == "" {
+		return false
+	}
+	if proto.PlainBodies && response.Header.Get("Content-Encoding") != "" {
+		return false
+	}
+	return x.echoesRequestID(response, view)
+}
+
+// echoesRequestID reports whether a response carries the ID of this request.
+func (x *exchange) echoesRequestID(response *upstream.Answer, view *world.ServiceView) bool {
+	echo := response.Header.Get(x.d.proto.RequestID)
+	if echo == "" {
+		return view.Config.AllowMissingEcho
+	}
+	return echo == x.req.ID
+}
--- a/internal/dispatch/serverstate_test.go
+++ b/internal/dispatch/serverstate_test.go
@@ -14,10 +14,10 @@
 	"github.com/pearshelf/pearshelf/internal/availability"
 )
 
-// Every answer of a backend server must pass sendToServer, or what the server says of itself
-// is lost with that way to send: copies that lost, trials and continued downloads were such.
-// The others that call send go to owner hosts.
-func TestAllAnswersOfServersAreRead(t *testing.T) {
+// Every response of a backend server must pass through sendToServer, or the state that it reports
+// is lost. This has happened for losing copies, trials and resumed downloads. The other callers of
+// send go to owner hosts.
+func TestAllServerResponsesAreRead(t *testing.T) {
 	want := []string{"forward", "reopenAtOwner", "sendToServer"}
 	var callers []string
 	for name, call := range callsInPackage(t) {
@@ -31,23 +31,22 @@
 	}
 }
 
-// Every request that leaves this host asks lastLook right before its first byte, and
-// lastLook asks what the server has said.
-func TestAllSendsAskAgainAtTheFirstByte(t *testing.T) {
+// Every request that leaves this host must be checked by checkBeforeWrite right before its first
+// byte, and checkBeforeWrite must check the state that the server has reported.
+func TestAllSendsAreCheckedAtTheFirstByte(t *testing.T) {
 	calls := callsInPackage(t)
 	for name, called := range calls {
-		if slices.Contains(called, "to.via.Do") && name != "send" {
-			t.Errorf("%s sends by itself", name)
+		if slices.Contains(called, "to.transport.Do") && name != "send" {
+			t.Errorf("%s bypasses send", name)
 		}
 	}
-	if !slices.Contains(calls["send"], "x.lastLook") || !slices.Contains(calls["lastLook"], "x.mayStillSend") {
-		t.Error("send does not ask again before the first byte")
+	if !slices.Contains(calls["send"], "x.checkBeforeWrite") || !slices.Contains(calls["checkBeforeWrite"], "x.checkServer") {
+		t.Error("send does not check the server's state before the first byte")
 	}
 }
 
-// Every request that leaves this host takes a token of the server's rate limit, shows it right
-// before its first byte, and returns it if that is not sent; what every answer says of a limit is
-// heard.
+// Every send must take a token of the server's rate limit, have it checked right before the first
+// byte, and return it if no byte is sent. The limit reported in each response must be recorded.
 func TestAllSendsTakeTokensOfRateLimits(t *testing.T) {
 	calls := callsInPackage(t)
 	for _, call := range []string{"x.takeToken", "x.returnToken"} {
@@ -55,15 +54,15 @@
 			t.Errorf("send does not call %s", call)
 		}
 	}
-	if !slices.Contains(calls["lastLook"], "x.checkToken") {
-		t.Error("the token is not looked at before the first byte")
+	if !slices.Contains(calls["checkBeforeWrite"], "x.checkToken") {
+		t.Error("the token is not checked before the first byte")
 	}
 	if !slices.Contains(calls["sendToServer"], "x.d.rateLimits.Heard") {
-		t.Error("answers' rate limits are not heard")
+		t.Error("rate limits reported in responses are not recorded")
 	}
 }
 
-// callsInPackage returns what each function of this package calls, by the function's name.
+// callsInPackage returns the calls in each function of this package, by the function's name.
 func callsInPackage(t *testing.T) map[string][]string {
 	t.Helper()
 	files, err := filepath.Glob("*.go")
@@ -99,7 +98,7 @@
 	return calls
 }
 
-// nameOf is an expression like a.b.c as text, empty for any other.
+// nameOf returns an expression like a.b.c as text, empty for any other.
 func nameOf(e ast.Expr) string {
 	switch e := e.(type) {
 	case *ast.Ident:
@@ -111,8 +110,9 @@
 	}
 }
 
-// A server whose rate limit has no room has given no word at any time: none is told of it.
-func TestDescribeKnown(t *testing.T) {
+// For a server without room in its rate limit that has reported no state, the state's age must be
+// omitted.
+func TestFormatKnownState(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	said := availability.State{SaidAt: now.Add(-20 * time.Millisecond)}
 	for want, row := range map[string]struct {
@@ -124,7 +124,7 @@
 		"resting:said-20ms-ago": {availability.Resting, said},
 		"no-room":               {availability.NoRoom, availability.State{}},
 	} {
-		if got := describeKnown(row.reason, row.state, now); got != want {
+		if got := formatKnownState(row.reason, row.state, now); got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -15,38 +15,40 @@
 )
 
 const (
-	// slowAfter makes a request worth a line of its own, if its route has no latency
-	// objective.
+	// slowAfter is the duration from which a request is always logged, if its route has no
+	// latency objective.
 	slowAfter = time.Second
-	// sampleOneIn is how many plain requests there are for each line about one.
+	// sampleOneIn is the sampling rate of log lines about routine requests.
 	sampleOneIn = 100
-	// linesPerSecond bounds the lines about requests on one host; what does not
-	// fit is counted and told with the next line that does.
-	linesPerSecond = 100
+	// requestLinesPerSecond bounds the log lines about requests on one host. Suppressed lines
+	// are counted, and the count is logged with the next line.
+	requestLinesPerSecond = 100
 )
 
-// try is what is logged of one try.
-type try struct {
+// attempt is the log record of one attempt.
+type attempt struct {
 	server string
-	// belief that the server was failing, and its load, when it was picked.
-	belief float64
-	load   float64
-	began  time.Time
-	took   time.Duration
-	result string
-	// fate is what became of the server where the connection broke, empty elsewhere.
+	// belief is the probability that the server was failing, load its load, when it was
+	// picked.
+	belief    float64
+	load      float64
+	startedAt time.Time
+	duration  time.Duration
+	result    string
+	// fate is what became of the server if the connection broke, empty otherwise.
 	fate string
-	// known is why the server should have had no request when it was picked, by what it
-	// had said before, and said is what it says of itself in its answer; empty for nothing.
-	known string
-	said  string
-	// purpose is why the server was sent the request, empty for its first send.
+	// knownState is the reason, known from earlier responses, why the server should not have
+	// got the request when it was picked. reported is the state in its response. Both are
+	// empty for none.
+	knownState string
+	reported   string
+	// purpose is why the server got the request, empty for its first send.
 	purpose purpose
-	// limited is set if the server names a rate limit in its answer.
-	limited bool
+	// namesRateLimit is set if the server reports a rate limit in its response.
+	namesRateLimit bool
 }
 
-// purpose is why a server is sent a request that another one has had, or has.
+// purpose is why a request is sent to a server when another one has, or has had, it.
 type purpose string
 
 // Purposes of sends after the first.
@@ -56,82 +58,82 @@
 	purposeTrial purpose = "trial"
 )
 
-// trace is what is logged of one request.
+// trace is the log record of one request.
 type trace struct {
-	tries []*try
+	attempts []*attempt
 }
 
-// begin notes a pick.
-func (x *exchange) begin(lease *place, why purpose) {
-	lease.try = &try{server: lease.Server.ID, belief: lease.belief, load: lease.load, began: time.Now(), known: x.knownOf(lease), purpose: why}
-	x.trace.tries = append(x.trace.tries, lease.try)
+// beginAttempt records the pick of a server.
+func (x *exchange) beginAttempt(lease *serverLease, why purpose) {
+	lease.attempt = &attempt{server: lease.Server.ID, belief: lease.belief, load: lease.load, startedAt: time.Now(), knownState: x.knownState(lease), purpose: why}
+	x.trace.attempts = append(x.trace.attempts, lease.attempt)
 }
 
-// purpose is why the next send of the request is made, where no server works on it.
+// purpose is why the next send of the request is made if no server is processing it.
 func (x *exchange) purpose() purpose {
-	if x.arrived > 0 {
+	if x.attemptsArrived > 0 {
 		return purposeRetry
 	}
 	return ""
 }
 
-// end notes what became of a try. The first result counts.
-func (t *try) end(result string) {
+// finish records the result of an attempt. Only the first result counts.
+func (t *attempt) finish(result string) {
 	if t.result == "" {
 		t.result = result
-		t.took = time.Since(t.began)
+		t.duration = time.Since(t.startedAt)
 	}
 }
 
-// limited reports whether a server has named a rate limit: every request that such a server
-// gets must be seen in the log.
-func (t *trace) limited() bool {
-	return slices.ContainsFunc(t.tries, func(one *try) bool { return one.limited })
+// namesRateLimit reports whether a server has reported a rate limit: every request to such a
+// server must be in the log.
+func (t *trace) namesRateLimit() bool {
+	return slices.ContainsFunc(t.attempts, func(a *attempt) bool { return a.namesRateLimit })
 }
 
-// String lists the tries: server, result, time taken, and what decided the pick.
+// String lists the attempts: server, result, duration, and what decided the pick.
 func (t *trace) String() string {
 	var text strings.Builder
-	for i, one := range t.tries {
+	for i, a := range t.attempts {
 		if i > 0 {
 			text.WriteString("; ")
 		}
-		text.WriteString(one.server + " " + one.result)
-		if one.fate != "" {
-			text.WriteString(" server=" + one.fate)
+		text.WriteString(a.server + " " + a.result)
+		if a.fate != "" {
+			text.WriteString(" server=" + a.fate)
 		}
-		if one.purpose != "" {
-			text.WriteString(" as=" + string(one.purpose))
+		if a.purpose != "" {
+			text.WriteString(" as=" + string(a.purpose))
 		}
-		if one.known != "" {
-			text.WriteString(" known=" + one.known)
+		if a.knownState != "" {
+			text.WriteString(" known=" + a.knownState)
 		}
-		if one.said != "" {
-			text.WriteString(" said=" + one.said)
+		if a.reported != "" {
+			text.WriteString(" said=" + a.reported)
 		}
-		text.WriteString(" took=" + one.took.Round(time.Millisecond).String())
-		text.WriteString(" belief=" + strconv.FormatFloat(one.belief, 'f', 2, 64))
-		text.WriteString(" load=" + strconv.FormatFloat(one.load, 'f', 1, 64))
+		text.WriteString(" took=" + a.duration.Round(time.Millisecond).String())
+		text.WriteString(" belief=" + strconv.FormatFloat(a.belief, 'f', 2, 64))
+		text.WriteString(" load=" + strconv.FormatFloat(a.load, 'f', 1, 64))
 	}
 	return text.String()
 }
 
-// requestLog bounds the lines about requests.
+// requestLog limits the log lines about requests.
 type requestLog struct {
-	plain atomic.Uint64
-	limit *logging.Limit
+	routine atomic.Uint64
+	limit   *logging.Limit
 }
 
-// wants reports whether a request gets a line: all that failed, were refused,
-// repeated or slow, and a sample of the others.
-func (l *requestLog) wants(now time.Time, plain bool) bool {
-	if plain && l.plain.Add(1)%sampleOneIn != 0 {
+// shouldLog reports whether a request is logged: all that failed, were refused, retried or
+// slow, and a sample of the others.
+func (l *requestLog) shouldLog(now time.Time, routine bool) bool {
+	if routine && l.routine.Add(1)%sampleOneIn != 0 {
 		return false
 	}
 	return l.limit.Allows(now)
 }
 
-// slowAfter is the time from which on a served request counts as slow.
+// slowAfter is the duration from which a served request counts as slow.
 func (r *Request) slowAfter() time.Duration {
 	if r.Objective > 0 {
 		return r.Objective
@@ -139,14 +141,14 @@
 	return slowAfter
 }
 
-// logRequest writes the line about a request that has its final answer.
+// logRequest logs a request that has its final response.
 func (x *exchange) logRequest(refusal *Refusal) {
 	took := time.Since(x.start)
-	plain := refusal == nil && x.status < 500 && len(x.trace.tries) == 1 && took < x.req.slowAfter() && !x.trace.limited()
-	x.d.logLine(x.req, plain, refusal, x.status, took, &x.trace)
+	routine := refusal == nil && x.status < 500 && len(x.trace.attempts) == 1 && took < x.req.slowAfter() && !x.trace.namesRateLimit()
+	x.d.logLine(x.req, routine, refusal, x.status, took, &x.trace)
 }
 
-// Refused notes a request that was refused before it came to a Dispatcher.
+// Refused records a request that was refused before it reached Serve.
 func (d *Dispatcher) Refused(req *Request, refusal *Refusal) {
 	if refusal.Err.Kind == errs.KindCustomerLimit && d.balance != nil {
 		d.balance.NoteLimited(req.Service)
@@ -154,8 +156,8 @@
 	d.logLine(req, false, refusal, refusal.Status, 0, &trace{})
 }
 
-func (d *Dispatcher) logLine(req *Request, plain bool, refusal *Refusal, status int, took time.Duration, tries *trace) {
-	if !d.requestLog.wants(time.Now(), plain) {
+func (d *Dispatcher) logLine(req *Request, routine bool, refusal *Refusal, status int, took time.Duration, tries *trace) {
+	if !d.requestLog.shouldLog(time.Now(), routine) {
 		return
 	}
 	outcome, reason := OutcomeComplete, ""
--- a/internal/dispatch/trial.go
+++ b/internal/dispatch/trial.go
@@ -10,75 +10,76 @@
 	"github.com/pearshelf/pearshelf/internal/policy"
 )
 
-// trial sends a copy of the request to a doubted server, if one is due; see policy.Trial.
-func (r *race) trial(ctx context.Context, first *place) {
-	x := r.x
-	lease, due := x.d.balance.Trial(x.view, x.requestBeside(first))
+// sendTrial sends a copy of the request to a suspect server if a trial is due; see
+// policy.Trial.
+func (h *hedge) sendTrial(ctx context.Context, first *serverLease) {
+	x := h.x
+	lease, due := x.d.balance.Trial(x.view, x.copyPolicyRequest(first))
 	if !due {
 		return
 	}
 	x.d.metrics.Retry(x.req.Service, true)
-	r.launch(ctx, balancedPlace(lease), purposeTrial)
+	h.start(ctx, balancedLease(lease), purposeTrial)
 }
 
-// keepTrial lets a trial go on after its caller has been answered, because its outcome says
-// whether the server has recovered. It reports false if f is no trial, has had its time, or
-// the caller has gone: nothing is worked on for a caller that left.
-func (x *exchange) keepTrial(f *flight) bool {
-	left := f.place.lease.TrialFor - time.Since(f.place.try.began)
-	if left <= 0 || x.req.in.Context().Err() != nil || !f.detach() {
+// detachTrial lets a trial continue after its caller has been answered, because its outcome
+// says whether the server has recovered. It returns false if p is not a trial, has used up its
+// time, or the caller has disconnected: no work is done for a caller that is gone.
+func (x *exchange) detachTrial(p *pendingSend) bool {
+	left := p.lease.balanced.TrialFor - time.Since(p.lease.attempt.startedAt)
+	if left <= 0 || x.req.in.Context().Err() != nil || !p.detach() {
 		return false
 	}
-	timer := time.AfterFunc(left, f.cancel)
+	timer := time.AfterFunc(left, p.cancel)
 	go func() {
-		got := <-f.result
+		result := <-p.result
 		timer.Stop()
-		x.noteTrial(f.place, got)
-		f.place.Release()
-		f.cancel()
+		x.recordTrial(p.lease, result)
+		p.lease.Release()
+		p.cancel()
 	}()
 	return true
 }
 
-// noteTrial notes what a trial came to whose caller has its answer already. It changes
-// nothing of the exchange, which is over.
-func (x *exchange) noteTrial(lease *place, got fetched) {
-	lease.done.Took = time.Since(lease.try.began)
-	if got.failure != nil {
-		lease.done.Unsent = !got.failure.Written
-		x.noteFailedTrial(lease, asTyped(got.failure.Unwrap()).Kind, got.failure.Dialled)
+// recordTrial records the outcome of a trial whose caller has already been answered. It does
+// not modify the exchange, which has ended.
+func (x *exchange) recordTrial(lease *serverLease, result sendResult) {
+	lease.done.Took = time.Since(lease.attempt.startedAt)
+	if result.failure != nil {
+		lease.done.Unsent = !result.failure.Written
+		x.recordFailedTrial(lease, toTypedError(result.failure.Unwrap()).Kind, result.failure.Dialled)
 		return
 	}
-	answer := got.answer
-	noteLoad(lease, got.said)
+	response := result.response
+	reportLoad(lease, result.reported)
 	switch {
-	case got.kind == answerNotRun && x.isMisdirected(answer):
+	case result.kind == responseNotRun && x.isMisdirected(response):
 		x.observe(lease, peerpb.Observation_KIND_UNREACHABLE, 0)
-	case got.kind == answerNotRun:
+	case result.kind == responseNotRun:
 		lease.done.Outcome = policy.Shed
-	case got.kind == answerForeign || got.broken != nil:
+	case result.kind == responseMismatched || result.truncated != nil:
 		x.observe(lease, peerpb.Observation_KIND_FAILED, 0)
-		answer.Discard()
+		response.Discard()
 		return
-	case answer.StatusCode >= http.StatusInternalServerError:
-		x.observe(lease, peerpb.Observation_KIND_FAILED, answer.FirstByte)
+	case response.StatusCode >= http.StatusInternalServerError:
+		x.observe(lease, peerpb.Observation_KIND_FAILED, response.FirstByte)
 	default:
-		x.noteServed(answer.StatusCode)
-		x.observe(lease, peerpb.Observation_KIND_GOOD, answer.FirstByte)
+		x.recordServed(response.StatusCode)
+		x.observe(lease, peerpb.Observation_KIND_GOOD, response.FirstByte)
 	}
-	answer.Finish()
+	response.Finish()
 }
 
-func (x *exchange) noteFailedTrial(lease *place, kind errs.Kind, dialled bool) {
+func (x *exchange) recordFailedTrial(lease *serverLease, kind errs.Kind, dialled bool) {
 	switch {
 	case isWithheld(kind):
 		lease.done.Outcome = policy.Neutral
 	case kind == errs.KindCanceled || kind == errs.KindDeadline:
-		lease.done.Outcome = policy.Abandoned // its time was over
+		lease.done.Outcome = policy.Abandoned // the trial timed out
 	case !dialled:
 		x.observe(lease, peerpb.Observation_KIND_UNREACHABLE, 0)
 	default:
-		x.fateOf(lease) // its request has its line in the log already
+		x.fateOf(lease) // the log line of its request has already been written
 		x.observe(lease, peerpb.Observation_KIND_FAILED, 0)
 	}
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -31,14 +31,14 @@
 
 mutant "floor" internal/system/rotation/rotation.go 's/if p.in <= least {/if false {/' ./internal/system/rotation
 mutant "floor of non-idempotent" internal/system/rotation/rotation.go 's/idempotentOnly \&\& p.whole > max(p.floor, 1)/idempotentOnly/' ./internal/system/rotation
-mutant "own answer" internal/dispatch/judge.go 's/return echo == x.req.ID/return echo != ""/' ./e2e -ginkgo.focus "another request's ID"
-mutant "abort of a short answer" internal/dispatch/answer.go '0,/panic(http.ErrAbortHandler)/s//return/' ./e2e -ginkgo.focus "cut short|cannot be continued"
-mutant "resumed download" internal/dispatch/answer.go 's/if !c.resumable {/if true {/' ./e2e -ginkgo.focus "continues a download"
-mutant "connection kept after the end" internal/dispatch/answer.go 's/return c.answer.Body.Close()/c.answer.Discard(); return nil/' ./e2e -ginkgo.focus "share them"
+mutant "own answer" internal/dispatch/result.go 's/return echo == x.req.ID/return echo != ""/' ./e2e -ginkgo.focus "another request's ID"
+mutant "abort of a short answer" internal/dispatch/response.go '0,/panic(http.ErrAbortHandler)/s//return/' ./e2e -ginkgo.focus "cut short|cannot be continued"
+mutant "resumed download" internal/dispatch/response.go 's/if !c.resumable {/if true {/' ./e2e -ginkgo.focus "continues a download"
+mutant "connection kept after the end" internal/dispatch/response.go 's/return c.response.Body.Close()/c.response.Discard(); return nil/' ./e2e -ginkgo.focus "share them"
 mutant "written is unknown" internal/upstream/upstream.go 's/f.Written = conn != nil .*/f.Written = false/' ./e2e -ginkgo.focus "told as unknown"
 mutant "no hidden resend" internal/upstream/upstream.go 's/return emptyBody{}/return nil/' ./internal/upstream
 mutant "last look at the write" internal/upstream/conn.go 's/if err := guard(); err != nil {/if err := guard(); err != nil \&\& false {/' ./internal/upstream
-mutant "last look of a frozen host" internal/dispatch/send.go 's/if world.Passed(now, x.d.snapshot().FreshUntil) {/if false {/' ./e2e -ginkgo.focus "freezes between"
+mutant "last look of a frozen host" internal/dispatch/send.go 's/if !x.d.snapshot().Fresh(now, /if false \&\& !x.d.snapshot().Fresh(now, /' ./e2e -ginkgo.focus "freezes between"
 mutant "claims" internal/dispatch/exchange.go 's/if x.req.Idempotent || x.req.Key == "" {/if true {/' ./e2e -ginkgo.focus "same key comes through|repeated through"
 mutant "identity of a claim" internal/claims/coordinator.go 's|id:          requestID + "/" + ulid.Make().String(),|id: requestID + ulid.ULID{}.String(),|' ./internal/claims
 mutant "quorum of claims" internal/claims/coordinator.go 's/		return 4$/		return 2/' ./internal/claims
@@ -50,9 +50,9 @@
 mutant "a server's report at the pick" internal/policy/copies.go 's/ \&\& r.isAvailable(b)$//' ./internal/policy -run ServersThatTake
 mutant "one request after a rest" internal/policy/availability.go 's/return t.has(MechanismReturnOneByOne) \&\& .*/return false/' ./internal/policy -run ReturnsWithOne
 mutant "a server's report at an owner's pick" internal/slots/pool.go 's/return req.Available == nil || req.Available(b)/return true/' ./internal/slots
-mutant "a server's report at the first byte" internal/dispatch/send.go 's/if err := x.mayStillSend(to); err != nil {/if err := x.mayStillSend(to); err != nil \&\& false {/' ./platform -run UpToTheFirstByte
+mutant "a server's report at the first byte" internal/dispatch/send.go 's/if err := x.checkServer(to); err != nil {/if err := x.checkServer(to); err != nil \&\& false {/' ./platform -run UpToTheFirstByte
 mutant "rotation at the first byte" internal/dispatch/serverstate.go 's/if view == to.view || view == nil || view.Backend(to.server.ID) != nil {/if view == nil || len(view.Backends) >= 0 {/' ./platform -run UpToTheFirstByte
-mutant "whose report" internal/dispatch/serverstate.go 's/return !x.isMisdirected(answer) \&\& .*/return !x.isMisdirected(answer) || echo != ""/' ./platform -run WhoseReport
+mutant "whose report" internal/dispatch/serverstate.go 's/return !x.isMisdirected(response) \&\& .*/return !x.isMisdirected(response) || echo != ""/' ./platform -run WhoseReport
 mutant "a report of an older process" internal/process/process.go 's/return s.Started > other.Started .*/return false/' ./internal/availability
 mutant "leaving holds" internal/availability/availability.go 's/case !s.LeavingSince.IsZero():/case now.Sub(s.LeavingSince) < time.Minute:/' ./internal/availability
 mutant "the later end of two rests" internal/availability/availability.go 's/ \&\& until.After(held.RestUntil)//' ./internal/availability
@@ -104,9 +104,9 @@
 mutant "new homes are told" internal/quarantine/table.go 's/^		t.tellNewHomes(now, s)$/		_ = s/' ./internal/quarantine -run HomesAreKilled
 mutant "one trial at a time" internal/quarantine/trial.go 's/tried \&\& now.Sub(began) < trialPause/tried \&\& now.Before(began)/' ./internal/quarantine -run Trial
 mutant "a lift forgets" internal/quarantine/decide.go 's/^	t.forgetLifted(s)$//' ./internal/quarantine -run 'Lift|LateHome'
-mutant "leaving servers are no evidence" internal/dispatch/ended.go 's/return x.inRotation(lease.Server) \&\& /return /' ./e2e -ginkgo.focus "after it was drained"
-mutant "a host that stood still is no witness" internal/dispatch/ended.go 's/x.d.snapshot().Fresh(time.Now(), boottime.Suspended())/(x.d.snapshot().Fresh(time.Now(), boottime.Suspended()) || true)/' ./e2e -ginkgo.focus "stood still"
-mutant "an end is checked" internal/dispatch/ended.go 's/fate == upstream.FateEnded \&\& /(fate == upstream.FateEnded || true) \&\& /' ./e2e -ginkgo.focus "evidence that a request"
+mutant "leaving servers are no evidence" internal/dispatch/quarantine.go 's/return x.inRotation(lease.Server) \&\& /return /' ./e2e -ginkgo.focus "after it was drained"
+mutant "a host that stood still is no witness" internal/dispatch/quarantine.go 's/x.d.snapshot().Fresh(time.Now(), boottime.Suspended())/(x.d.snapshot().Fresh(time.Now(), boottime.Suspended()) || true)/' ./e2e -ginkgo.focus "stood still"
+mutant "an end is checked" internal/dispatch/quarantine.go 's/fate == upstream.FateEnded \&\& /(fate == upstream.FateEnded || true) \&\& /' ./e2e -ginkgo.focus "evidence that a request"
 mutant "path faults leave half" internal/system/rotation/rotation.go 's|stays := max(p.floor, (len(p.svc.Backends)+1)/2)|stays := p.floor|' ./internal/system/rotation
 mutant "suspension" internal/engine/engine.go 's/pause := max(world.Elapsed(e.lastTick, now), now.Sub(e.lastTick)+slept)/pause := world.Elapsed(e.lastTick, now)/' ./internal/engine
 mutant "spent allowance" internal/policy/pick.go 's/return rule.IdempotentFailure + spent\*/return rule.IdempotentFailure + 0*spent*/' ./internal/policy
@@ -123,14 +123,14 @@
 mutant "abandoned requests are evidence" internal/policy/outcome.go 's/s.learnSilence(now, done.silence)/_ = done.silence/' ./internal/policy
 mutant "short deadlines say nothing" internal/policy/outcome.go 's/case done.TimedOut \&\& done.silence < overdue:/case false:/' ./internal/policy
 mutant "copies of reads" internal/policy/copies.go 's/	if !t.has(MechanismCopies) {/	if true {/' ./e2e -ginkgo.focus "by a copy"
-mutant "no copies of writes" internal/dispatch/copies.go 's/ \&\& x.req.Idempotent \&\& / \&\& /' ./e2e -ginkgo.focus "no second copy"
+mutant "no copies of writes" internal/dispatch/hedge.go 's/ \&\& x.req.Idempotent \&\& / \&\& /' ./e2e -ginkgo.focus "no second copy"
 mutant "usual times by route" internal/policy/routes.go 's/ok \&\& r.answers > 0 \&\& /ok \&\& false \&\& /' ./internal/policy
 mutant "hopeless requests" internal/policy/admission.go 's/hopeless = 0.9/hopeless = 2.0/' ./internal/policy
 mutant "standing queue" internal/policy/admission.go 's/standingShare = 0.5/standingShare = 2.0/' ./experiment/replay -run StandingQueue
 mutant "less urgent make room" internal/policy/admission.go 's/lessUrgent = 0.5/lessUrgent = 1.0/' ./experiment/replay -run Priorities
-mutant "time is over" internal/dispatch/exchange.go 's/ \&\& x.broken < maxBroken \&\& ctx.Err() == nil {/ \&\& !isCallerGone(ctx) {/' ./platform -run TimeOver
-mutant "signature" internal/dispatch/judge.go 's/marks.Signature != ""/marks.Signature == "-"/' ./platform -run Idempotent
-mutant "misdirected" internal/dispatch/judge.go 's/x.isMisdirected(answer) || x.d/x.d/' ./platform -run NotRun
+mutant "time is over" internal/dispatch/exchange.go 's/ \&\& x.unsentFailures < maxUnsentFailures \&\& !x.isExpired(ctx) {/ \&\& !isCallerGone(ctx) {/' ./platform -run TimeOver
+mutant "signature" internal/dispatch/result.go 's/proto.Signature != ""/proto.Signature == "-"/' ./platform -run Idempotent
+mutant "misdirected" internal/dispatch/roundtrip.go 's/case x.isMisdirected(response), x.d/case x.d/' ./platform -run NotRun
 mutant "indirect probes" internal/membership/probe.go 's/if !p.asked \&\& !now.Before(p.indirect) {/if false {/' ./internal/membership
 mutant "stale after a pause" internal/engine/engine.go "s/if pause > e.conf.Freshness {/if false {/" ./internal/engine
 mutant "pause forgiven" internal/membership/probe.go 's/if gap := now.Sub(l.lastTick); gap > pauseFactor\*l.conf.ProbeInterval {/if gap := now.Sub(l.lastTick); gap < 0 {/' ./internal/membership
@@ -138,8 +138,8 @@
 mutant "new host is no reader" internal/system/configsync/configsync.go 's/return w.Settled \&\& slices/return slices/' ./e2e -ginkgo.focus "all hosts restart"
 mutant "polls stretch" internal/system/configsync/configsync.go 's/max(hosts, PollHosts)/max(0, PollHosts)/' ./internal/system/configsync
 mutant "key stays here" internal/dispatch/request.go 's/r.HideKey \&\& sameHeader/false \&\& sameHeader/' ./platform -run TestServerIsToldTheCustomer
-mutant "customer is ours to name" internal/dispatch/request.go 's/sameHeader(name, marks.Customer) || /name == "" || /' ./platform -run TestServerIsToldTheCustomer
-mutant "trailers hide the customer" internal/dispatch/request.go 's/^	r.hideCustomer(passed, marks)$//' ./platform -run TestTrailers
+mutant "customer is ours to name" internal/dispatch/request.go 's/sameHeader(name, proto.Customer) || /name == "" || /' ./platform -run TestServerIsToldTheCustomer
+mutant "trailers hide the customer" internal/dispatch/request.go 's/^	r.hideCustomer(forwarded, proto)$//' ./platform -run TestTrailers
 mutant "refusal before the body" internal/frontend/problem.go 's/^	settleBody(w, r)$//' ./platform -run TestUnknownKeyIsRefusedBefore -timeout 20s
 mutant "rate limits are asked for" internal/dispatch/ratelimit.go 's/case !verdict.OK:/case false:/' ./platform -run AllServersLimited
 mutant "unused token goes back" internal/dispatch/send.go 's/		x.returnToken(token)/		_ = token/' ./platform -run UnusedToken
