--- a/internal/dispatch/ratelimit.go
+++ b/internal/dispatch/ratelimit.go
@@ -30,8 +30,8 @@
 	Promise(servers []process.Server) time.Duration
 }
 
-// tokenLifetime is how long a token is valid. A host that was paused for longer would add its
-// request to those that other hosts have sent in the meantime.
+// tokenLifetime is how long a token is valid. A host that was paused for longer would exceed
+// the limit, because other hosts have sent requests in its place.
 const tokenLifetime = time.Second
 
 // sendToken is the right to send one request to a server that reports a rate limit.
@@ -62,8 +62,8 @@
 	return &sendToken{server: to.server, takenAt: boottime.Now()}, nil
 }
 
-// checkToken forbids a send that needs a token and has none, which happens if the server has
-// reported its limit only since it was picked, or whose token has expired.
+// checkToken forbids a send that needs a token if there is none or it has expired. There is none
+// if the server has reported its limit only after takeToken.
 func (x *exchange) checkToken(to destination, t *sendToken) error {
 	_, limited := x.d.snapshot().RateLimits.Of(to.server)
 	switch {
--- a/internal/dispatch/serverstate.go
+++ b/internal/dispatch/serverstate.go
@@ -79,7 +79,7 @@
 	d.events.Record(number, server.Service, server.ID, detail)
 }
 
-// reportLoad passes the load that a server reported on to its lease, for the next pick.
+// reportLoad stores the load that a server has reported in the lease, for later picks.
 func reportLoad(lease *serverLease, reported protocol.ServerState) {
 	if reported.Load != nil {
 		lease.reportLoad(*reported.Load)
@@ -109,8 +109,8 @@
 	return strconv.FormatFloat(perSecond, 'g', 4, 64) + "/s"
 }
 
-// knownState is the reason known before the request why the server should not get it,
-// formatted for logs; empty for none.
+// knownState returns the reason, known from earlier responses, why the server should not get
+// requests now. It is formatted for logs and empty for none.
 func (x *exchange) knownState(lease *serverLease) string {
 	moment := x.d.availability.Now()
 	reason, state := moment.Of(x.serverOf(lease))
@@ -136,8 +136,9 @@
 	return reason.TakesRequests()
 }
 
-// checkServer forbids a send to a server that has reported since it was picked that it accepts
-// no requests, that is outside the request's home regions, or that has left the rotation.
+// checkServer forbids a send to a server outside the request's home regions, to one that has
+// reported since it was picked that it accepts no requests, and to one that has left the
+// rotation.
 func (x *exchange) checkServer(to destination) error {
 	if to.server.ID == "" {
 		return nil // an owner host
