--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -98,14 +98,14 @@
 func (h *hedge) start(ctx context.Context, lease *serverLease, why purpose) {
 	x := h.x
 	x.beginAttempt(lease, why)
-	own, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
+	sendCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	p := &pendingSend{lease: lease, cancel: func() { cancel(context.Canceled) }, result: make(chan sendResult, 1)}
 	p.detach = context.AfterFunc(ctx, func() { cancel(context.Cause(ctx)) })
 	h.pending = append(h.pending, p)
 	x.inFlight++
 	to := x.toServer(lease)
 	go func() {
-		p.result <- x.roundTripRecovered(own, to)
+		p.result <- x.roundTripRecovered(sendCtx, to)
 		h.results <- p
 	}()
 }
--- a/internal/dispatch/homes.go
+++ b/internal/dispatch/homes.go
@@ -36,15 +36,15 @@
 	}
 	d.homes.mu.Lock()
 	defer d.homes.mu.Unlock()
-	at := homeViewKey{service: req.Service, homes: req.Homes.String()}
-	if held, known := d.homes.views[at]; known && held.source == whole {
-		return held.filtered
+	key := homeViewKey{service: req.Service, homes: req.Homes.String()}
+	if cached, ok := d.homes.views[key]; ok && cached.source == whole {
+		return cached.filtered
 	}
 	if d.homes.views == nil || len(d.homes.views) >= maxHomeViews {
 		d.homes.views = make(map[homeViewKey]homeView)
 	}
 	filtered := whole.Within(func(dataCentre string) bool { return req.Homes.Allow(d.conf.Regions, dataCentre) })
-	d.homes.views[at] = homeView{source: whole, filtered: filtered}
+	d.homes.views[key] = homeView{source: whole, filtered: filtered}
 	return filtered
 }
 
@@ -64,17 +64,17 @@
 
 // claimHosts returns the hosts that may hold the claim on the request's idempotency key.
 func (x *exchange) claimHosts() claims.Claimable {
-	among := claims.Claimable{Hosts: x.snap.Claimants, Addresses: x.snap.ClaimantAddress}
+	claimable := claims.Claimable{Hosts: x.snap.Claimants, Addresses: x.snap.ClaimantAddress}
 	if !x.req.Homes.Bound() {
-		return among
+		return claimable
 	}
-	among.Hosts = nil
+	claimable.Hosts = nil
 	for _, node := range x.snap.Claimants {
 		if x.mayHoldClaim(node) {
-			among.Hosts = append(among.Hosts, node)
+			claimable.Hosts = append(claimable.Hosts, node)
 		}
 	}
-	return among
+	return claimable
 }
 
 func (x *exchange) mayHoldClaim(node rendezvous.Node) bool {
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -60,11 +60,11 @@
 
 // credentials returns the values that identify the sender, apart from the customer's key.
 func (r *Request) credentials() []string {
-	shown := slices.Clone(r.in.Header.Values("Cookie"))
+	values := slices.Clone(r.in.Header.Values("Cookie"))
 	if !r.HideKey {
-		shown = append(shown, r.in.Header.Values(customer.HeaderAuthorization)...)
+		values = append(values, r.in.Header.Values(customer.HeaderAuthorization)...)
 	}
-	return shown
+	return values
 }
 
 // hostname is the name in a Host header without the port, which may differ between hosts.
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -142,11 +142,11 @@
 	if b.streamed || b.buffered {
 		return nil
 	}
-	kept, err := io.ReadAll(b.source)
+	data, err := io.ReadAll(b.source)
 	if err != nil {
 		return errs.Wrap(err, errs.KindBadRequest, "request body truncated", "send the whole body that Content-Length announces")
 	}
-	b.data = kept
+	b.data = data
 	b.buffered = true
 	return nil
 }
--- a/internal/dispatch/result.go
+++ b/internal/dispatch/result.go
@@ -100,8 +100,8 @@
 // it passes the server's own error to the caller.
 func (x *exchange) handleServerError(ctx context.Context, lease *serverLease, response *upstream.Answer) (done bool, refusal *Refusal) {
 	x.tried = append(x.tried, lease.Server.ID)
-	elsewhere := x.req.Idempotent && x.attemptsRun < x.req.maxAttempts() && len(x.tried) < len(x.view.Backends)
-	if x.inFlight == 0 && (!elsewhere || !x.mayRetry()) {
+	canRetry := x.req.Idempotent && x.attemptsRun < x.req.maxAttempts() && len(x.tried) < len(x.view.Backends)
+	if x.inFlight == 0 && (!canRetry || !x.mayRetry()) {
 		x.streamResponse(ctx, lease, response)
 		return true, nil
 	}
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -156,7 +156,7 @@
 	d.logLine(req, false, refusal, refusal.Status, 0, &trace{})
 }
 
-func (d *Dispatcher) logLine(req *Request, routine bool, refusal *Refusal, status int, took time.Duration, tries *trace) {
+func (d *Dispatcher) logLine(req *Request, routine bool, refusal *Refusal, status int, took time.Duration, t *trace) {
 	if !d.requestLog.shouldLog(time.Now(), routine) {
 		return
 	}
@@ -182,6 +182,6 @@
 		"left", time.Until(req.Deadline).Round(time.Millisecond),
 		"version", snap.Revisions[world.KeyPublished],
 		"servers", servers,
-		"tries", tries.String(),
+		"tries", t.String(),
 		"missed", d.requestLog.limit.TakeMissed())
 }
