--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,6 +1,6 @@
-// Package boottime tells for how long a machine has been suspended. Go's steady clock is
-// CLOCK_MONOTONIC, which stands still meanwhile; CLOCK_BOOTTIME does not, and unlike the
-// time of day nobody sets it.
+// Package boottime reports how long a machine has been suspended. Go's monotonic clock is
+// CLOCK_MONOTONIC, which stops while the machine is suspended. CLOCK_BOOTTIME does not, and
+// unlike the wall clock it cannot be set.
 package boottime
 
 import (
@@ -9,16 +9,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Suspended returns for how long the machine has been suspended since it booted, 0 where
-// the system has no such clock. It takes some 0.1 us.
+// Suspended returns how long the machine has been suspended since boot, or 0 if the system has no
+// such clock. It takes about 0.1 us.
 func Suspended() time.Duration {
-	var boot, steady unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
+	var boot, monotonic unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
 		return 0
 	}
-	return max(time.Duration(boot.Nano()-steady.Nano())-readApart, 0)
+	return max(time.Duration(boot.Nano()-monotonic.Nano())-maxReadSkew, 0)
 }
 
-// readApart is how far apart the two clocks may be read on a busy machine: a shorter
-// suspension is no matter.
-const readApart = 10 * time.Millisecond
+// maxReadSkew is the maximum time between the reads of the two clocks on a busy machine. Shorter
+// suspensions can be ignored.
+const maxReadSkew = 10 * time.Millisecond
--- a/internal/boottime/clock.go
+++ b/internal/boottime/clock.go
@@ -2,6 +2,6 @@
 
 import "time"
 
-// Now is the time by a clock that goes on while the machine is suspended. Its times may be
-// compared with one another only.
+// Now returns the time on a clock that keeps running while the machine is suspended. The
+// results are comparable only with one another.
 func Now() time.Time { return time.Now().Add(Suspended()) }
--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -1,43 +1,44 @@
-// Package memory bounds the bytes of bodies that a host holds: callers and backend servers may
-// read and write slowly, and each body that is held meanwhile counts towards the memory of the
-// process, which is ended when it has too much.
+// Package memory limits the bytes of request and response bodies that a host holds. Callers and
+// backend servers may read and write slowly, and each body buffered meanwhile counts towards the
+// memory of the process, which is killed when it exceeds its limit.
 package memory
 
 import "sync/atomic"
 
 const (
-	// bodiesShare of a host's memory may hold bodies.
-	bodiesShare = 0.25
-	// optionalShare of that may hold what can also be passed on without being held.
-	optionalShare = 0.5
-	// DefaultHostBytes is assumed where a host does not know its memory.
+	// bodyFraction is the fraction of the host's memory that may hold bodies.
+	bodyFraction = 0.25
+	// optionalFraction is the fraction of that available to bodies that can also be streamed without
+	// buffering.
+	optionalFraction = 0.5
+	// DefaultHostBytes is assumed if the host's memory size is unknown.
 	DefaultHostBytes = 512 << 20
 )
 
-// Budget is how many bytes of bodies a host may hold. It is safe for concurrent use.
+// Budget limits the bytes of bodies that a host holds. It is safe for concurrent use.
 type Budget struct {
 	limit int64
 	held  atomic.Int64
 }
 
-// NewBudget returns the budget of a host with so much memory, 0 for DefaultHostBytes.
+// NewBudget returns the budget of a host with the given memory, DefaultHostBytes if it is 0.
 func NewBudget(hostBytes int64) *Budget {
 	if hostBytes <= 0 {
 		hostBytes = DefaultHostBytes
 	}
-	return &Budget{limit: int64(bodiesShare * float64(hostBytes))}
+	return &Budget{limit: int64(bodyFraction * float64(hostBytes))}
 }
 
-// Take takes bytes that must be held, and reports whether there is room. What is taken must be
-// returned.
-func (b *Budget) Take(n int64) bool { return b.take(n, b.limit) }
+// Take reserves n bytes that must be held, and reports whether there is room. Reserved bytes must
+// be released with Return.
+func (b *Budget) Take(n int64) bool { return b.tryAcquire(n, b.limit) }
 
-// TakeOptional takes bytes that need not be held, and leaves room for those that must.
+// TakeOptional is Take for bytes that need not be held. It leaves room for those that must.
 func (b *Budget) TakeOptional(n int64) bool {
-	return b.take(n, int64(optionalShare*float64(b.limit)))
+	return b.tryAcquire(n, int64(optionalFraction*float64(b.limit)))
 }
 
-func (b *Budget) take(n, limit int64) bool {
+func (b *Budget) tryAcquire(n, limit int64) bool {
 	if b.held.Add(n) <= limit {
 		return true
 	}
@@ -45,8 +46,8 @@
 	return false
 }
 
-// Return gives bytes back.
+// Return releases n reserved bytes.
 func (b *Budget) Return(n int64) { b.held.Add(-n) }
 
-// Held is how many bytes are held now.
+// Held returns the number of bytes reserved now.
 func (b *Budget) Held() int64 { return b.held.Load() }
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -8,9 +8,9 @@
 	"github.com/pearshelf/pearshelf/internal/memory"
 )
 
-// However many take at once, no more is held than a quarter of the host's memory, and what can be
-// passed on without being held leaves half of that for what cannot.
-func TestBudgetHolds(t *testing.T) {
+// Concurrent reservations never exceed a quarter of the host's memory. Reservations of bytes that
+// need not be held leave half of that for bytes that must.
+func TestBudgetLimitsReservations(t *testing.T) {
 	const host, one = 1 << 20, 1 << 10
 	budget := memory.NewBudget(host)
 	var optional, must atomic.Int64
@@ -26,16 +26,16 @@
 	}
 	wg.Wait()
 	if held := optional.Load(); held != host/8 || budget.Held() != held {
-		t.Errorf("%d bytes held that need not be, %d in all", held, budget.Held())
+		t.Errorf("%d optional bytes held, %d in total", held, budget.Held())
 	}
 	for budget.Take(one) {
 		must.Add(one)
 	}
 	if held := must.Load() + optional.Load(); held != host/4 {
-		t.Errorf("%d bytes held of %d", held, host)
+		t.Errorf("%d bytes held of a host's %d", held, host)
 	}
 	budget.Return(optional.Load())
 	if !budget.Take(one) || budget.TakeOptional(one) {
-		t.Error("what was returned is not to be had, or not first by what must be held")
+		t.Error("returned bytes are not available, or are available to optional reservations")
 	}
 }
