--- a/internal/sharing/message.go
+++ b/internal/sharing/message.go
@@ -8,24 +8,24 @@
 	"github.com/pearshelf/pearshelf/internal/api/peerpb"
 )
 
-// loadsPerMessage keeps a datagram below common MTUs, at some 50 bytes each. It is at
-// most the bits of a selection.
+// loadsPerMessage keeps a datagram below common MTUs, at about 50 bytes per load. It must not
+// exceed the number of bits of a selection.
 const loadsPerMessage = 20
 
-// Message is what several hosts are told alike: it is encoded once for all of them.
+// Message contains loads that several hosts receive alike. It is encoded once for all of them.
 type Message struct {
 	To    []string // addresses
 	Loads []*peerpb.BackendLoad
-	// Near is set for hosts of this data centre: they are told of all requests, others
-	// of failures only, because bytes to them are dear.
+	// Near is set for receivers in this data centre. They receive reports of all requests, other
+	// hosts only of failures, because traffic between data centres is expensive.
 	Near bool
 }
 
-// Near returns the messages to the hosts of this data centre: what this host does at a
-// server goes to those whose subsets hold it, the totals of a service to this host's
-// segment. service returns a service's servers, or nil.
+// Near returns the messages to hosts of this data centre. The load of this host on a server goes
+// to the hosts whose subsets contain the server, the totals of a service to this host's segment.
+// service returns the servers of a service, or nil.
 func (f *Fleet) Near(loads []*peerpb.BackendLoad, service func(name string) *Service) []Message {
-	return messages(loads, true, func(l *peerpb.BackendLoad, add func([]string)) {
+	return groupMessages(loads, true, func(l *peerpb.BackendLoad, add func([]string)) {
 		if l.Backend == "" {
 			add(f.segment)
 		} else if s := service(l.Service); s != nil {
@@ -34,53 +34,54 @@
 	})
 }
 
-// Far returns the messages to the hosts of the other data centres: failures go to those
-// whose subsets hold the server.
+// Far returns the messages to hosts of other data centres. Failures go to the hosts whose subsets
+// contain the server.
 func (f *Fleet) Far(failing []*peerpb.BackendLoad, service func(name string) *Service) []Message {
-	return messages(failing, false, func(l *peerpb.BackendLoad, add func([]string)) {
+	return groupMessages(failing, false, func(l *peerpb.BackendLoad, add func([]string)) {
 		s := service(l.Service)
 		if s == nil {
 			return
 		}
-		f.otherDataCentres(func(dataCentre string) { add(f.Audience(s, l.Backend, dataCentre)) })
+		f.forEachRemoteDataCentre(func(dataCentre string) { add(f.Audience(s, l.Backend, dataCentre)) })
 	})
 }
 
-// selection is a set of loads, a bit for each.
+// selection is a set of loads, one bit for each.
 type selection uint32
 
-// messages groups receivers by what they are told. receivers calls add with those of a
-// load.
-func messages(loads []*peerpb.BackendLoad, near bool, receivers func(l *peerpb.BackendLoad, add func([]string))) []Message {
+// groupMessages groups receivers by the loads that they receive. The function receivers calls add
+// with the receivers of a load.
+func groupMessages(loads []*peerpb.BackendLoad, local bool, receivers func(l *peerpb.BackendLoad, add func([]string))) []Message {
 	var all []Message
 	for chunk := range slices.Chunk(loads, loadsPerMessage) {
-		told := make(map[string]selection)
+		selections := make(map[string]selection)
 		for i, l := range chunk {
 			receivers(l, func(addresses []string) {
 				for _, address := range addresses {
-					told[address] |= 1 << i
+					selections[address] |= 1 << i
 				}
 			})
 		}
-		all = append(all, group(chunk, told, near)...)
+		all = append(all, groupBySelection(chunk, selections, local)...)
 	}
 	return all
 }
 
-func group(loads []*peerpb.BackendLoad, told map[string]selection, near bool) []Message {
-	to := make(map[selection][]string)
-	for _, address := range slices.Sorted(maps.Keys(told)) {
-		to[told[address]] = append(to[told[address]], address)
+// groupBySelection returns one message for each distinct selection, given by address.
+func groupBySelection(loads []*peerpb.BackendLoad, selections map[string]selection, local bool) []Message {
+	receivers := make(map[selection][]string)
+	for _, address := range slices.Sorted(maps.Keys(selections)) {
+		receivers[selections[address]] = append(receivers[selections[address]], address)
 	}
 	var all []Message
-	for _, chosen := range slices.SortedFunc(maps.Keys(to), cmp.Compare) {
-		all = append(all, Message{To: to[chosen], Loads: chosen.of(loads), Near: near})
+	for _, chosen := range slices.SortedFunc(maps.Keys(receivers), cmp.Compare) {
+		all = append(all, Message{To: receivers[chosen], Loads: chosen.selected(loads), Near: local})
 	}
 	return all
 }
 
-// of returns the selected loads.
-func (s selection) of(loads []*peerpb.BackendLoad) []*peerpb.BackendLoad {
+// selected returns the loads in the selection.
+func (s selection) selected(loads []*peerpb.BackendLoad) []*peerpb.BackendLoad {
 	var chosen []*peerpb.BackendLoad
 	for i, l := range loads {
 		if s&(1<<i) != 0 {
--- a/internal/sharing/ring.go
+++ b/internal/sharing/ring.go
@@ -7,46 +7,45 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ring holds names in the order of their hash. A member's place is its rank as a part
-// of the ring, so that members are spread evenly: the places of hashes themselves would
-// leave gaps. A ring does not change.
+// ring is an immutable ring of names, ordered by hash. The position of a member is its rank as a
+// fraction of the ring: this spaces members evenly, whereas positions by hash would leave gaps.
 type ring struct {
 	names  []string
 	hashes []uint64 // of names
 }
 
-// hashed is a name with its hash.
-type hashed struct {
+// hashedName is a name with its hash.
+type hashedName struct {
 	hash uint64
 	name string
 }
 
-func hashOf(name string) hashed { return hashed{xxhash.Sum64String(name), name} }
+func hashOf(name string) hashedName { return hashedName{xxhash.Sum64String(name), name} }
 
-func (h hashed) compare(other hashed) int {
+func (h hashedName) compare(other hashedName) int {
 	return cmp.Or(cmp.Compare(h.hash, other.hash), cmp.Compare(h.name, other.name))
 }
 
-func newRing(names []string) *ring { return (*ring)(nil).with(names, nil) }
+func newRing(names []string) *ring { return (*ring)(nil).updated(names, nil) }
 
-// with returns the ring after some names have joined and left.
-func (r *ring) with(joined, left []string) *ring {
-	added := make([]hashed, 0, len(joined))
+// updated returns the ring after names have joined and left.
+func (r *ring) updated(joined, left []string) *ring {
+	added := make([]hashedName, 0, len(joined))
 	for _, name := range joined {
 		added = append(added, hashOf(name))
 	}
-	slices.SortFunc(added, hashed.compare)
+	slices.SortFunc(added, hashedName.compare)
 	next := &ring{names: make([]string, 0, r.len()+len(added)), hashes: make([]uint64, 0, r.len()+len(added))}
-	gone := make(map[string]bool, len(left))
+	removed := make(map[string]bool, len(left))
 	for _, name := range left {
-		gone[name] = true
+		removed[name] = true
 	}
 	for i := range r.len() {
 		for len(added) > 0 && added[0].compare(r.at(i)) < 0 {
 			next.append(added[0])
 			added = added[1:]
 		}
-		if len(gone) == 0 || !gone[r.names[i]] {
+		if len(removed) == 0 || !removed[r.names[i]] {
 			next.append(r.at(i))
 		}
 	}
@@ -56,9 +55,9 @@
 	return next
 }
 
-func (r *ring) at(i int) hashed { return hashed{r.hashes[i], r.names[i]} }
+func (r *ring) at(i int) hashedName { return hashedName{r.hashes[i], r.names[i]} }
 
-func (r *ring) append(h hashed) {
+func (r *ring) append(h hashedName) {
 	r.names = append(r.names, h.name)
 	r.hashes = append(r.hashes, h.hash)
 }
@@ -70,14 +69,14 @@
 	return len(r.names)
 }
 
-// rank is a member's position in the order.
+// rank returns the index of a member in the order of the ring.
 func (r *ring) rank(name string) (int, bool) {
 	if r == nil {
 		return 0, false
 	}
-	sought := hashOf(name)
-	i, _ := slices.BinarySearch(r.hashes, sought.hash)
-	for ; i < len(r.hashes) && r.hashes[i] == sought.hash; i++ {
+	target := hashOf(name)
+	i, _ := slices.BinarySearch(r.hashes, target.hash)
+	for ; i < len(r.hashes) && r.hashes[i] == target.hash; i++ {
 		if r.names[i] == name {
 			return i, true
 		}
@@ -85,18 +84,18 @@
 	return 0, false
 }
 
-// place is where a member stands, from 0 up to 1.
-func (r *ring) place(name string) (float64, bool) {
+// position returns the position of a member, in [0, 1).
+func (r *ring) position(name string) (float64, bool) {
 	rank, ok := r.rank(name)
 	if !ok {
 		return 0, false
 	}
-	return r.placeAt(rank), true
+	return r.positionAt(rank), true
 }
 
-func (r *ring) placeAt(rank int) float64 { return float64(rank) / float64(max(len(r.names), 1)) }
+func (r *ring) positionAt(rank int) float64 { return float64(rank) / float64(max(len(r.names), 1)) }
 
-// arc returns the members in the arc of a width that begins at start.
+// arc returns the members in the arc of the given width that begins at start.
 func (r *ring) arc(start, width float64) []string {
 	n := r.len()
 	if width >= 1 {
@@ -106,7 +105,7 @@
 	first := int(start * float64(n))
 	for ahead := range n {
 		i := (first + ahead) % n
-		if inArc(start, width, r.placeAt(i)) {
+		if inArc(start, width, r.positionAt(i)) {
 			found = append(found, r.names[i])
 		} else if ahead > 1 { // the first may lie just before start
 			break
@@ -115,26 +114,26 @@
 	return found
 }
 
-// inArc reports whether a place lies in the arc of a width that begins at start.
-func inArc(start, width, place float64) bool {
-	ahead := place - start
+// inArc reports whether a position lies in the arc of the given width that begins at start.
+func inArc(start, width, position float64) bool {
+	ahead := position - start
 	if ahead < 0 {
 		ahead++
 	}
 	return ahead < width
 }
 
-// behind returns the members whose arcs of a width hold a place, nearest first.
-func (r *ring) behind(place, width float64) []string {
+// covering returns the members whose arcs of the given width contain a position, nearest first.
+func (r *ring) covering(position, width float64) []string {
 	n := r.len()
 	if width >= 1 || n == 0 {
 		return slices.Clone(r.members())
 	}
 	var found []string
-	nearest := int(place * float64(n))
+	nearest := int(position * float64(n))
 	for back := range n {
 		i := ((nearest+1-back)%n + n) % n // one ahead of nearest, in case of rounding
-		if inArc(float64(i)/float64(n), width, place) {
+		if inArc(float64(i)/float64(n), width, position) {
 			found = append(found, r.names[i])
 		} else if back > 1 {
 			break
@@ -150,7 +149,8 @@
 	return r.names
 }
 
-// segment returns the members of the same one of count equal parts of the ring.
+// segment divides the ring into count equal parts and returns the members of the part that
+// contains name.
 func (r *ring) segment(name string, count int) []string {
 	rank, ok := r.rank(name)
 	if !ok {
--- a/internal/sharing/sharing.go
+++ b/internal/sharing/sharing.go
@@ -1,37 +1,36 @@
-// Package sharing decides which backend servers a host uses and which hosts are told
-// what it does there, where every host picks servers by itself. If all hosts used all
-// servers, what hosts tell each other would grow with the hosts of a data centre, each
-// would hear of a server too seldom to judge it, and its connections would be cold. So
-// each host uses a subset, and shares what it knows with the hosts whose subsets hold the
+// Package sharing decides which backend servers each host uses and which hosts receive its
+// reports about them. Every host picks servers independently. If all hosts used all servers,
+// the reports between hosts would grow with the number of hosts of a data centre, each host
+// would see too few requests to a server to judge it, and its connections would be cold. Each
+// host therefore uses a subset, and shares its reports with the hosts whose subsets contain the
 // same servers (a deterministic aperture).
 //
-// The hosts of a data centre stand on a ring in the order of their hash, and so do a
-// service's servers of each data centre. A host uses the servers in the arc from its own
-// place on. Each server is thus in the arcs of the same number of hosts, whatever hosts
-// there are, and arcs move by little when a host comes or goes. Where the hosts are few
-// an arc is the whole ring.
+// The hosts of a data centre form a ring ordered by hash, and so do a service's servers of each
+// data centre. A host uses the servers in the arc that begins at its own position. Each server is
+// thus in the arcs of about the same number of hosts, whatever the set of hosts, and arcs change
+// little when a host joins or leaves. With few hosts an arc is the whole ring.
 //
-// The package is pure: lists in, lists out.
+// The functions of the package are pure.
 package sharing
 
 import "maps"
 
-// Rule says how wide arcs are.
+// Rule determines the width of arcs.
 type Rule struct {
-	// Hosts is how many hosts of a data centre share a server. More know more of a
-	// server's requests by each other's word, and cost messages: each request is told
-	// to so many hosts twice.
+	// Hosts is the number of hosts of a data centre that share a server. Larger values give each
+	// host more reports about a server's requests and cost more messages: each request is reported
+	// twice to this many hosts.
 	Hosts int
-	// Servers is how many servers of a data centre a host uses at least, where a
-	// service has so many: in a spell of failures a third of the servers is out of use.
+	// Servers is the minimum number of servers of a data centre that a host uses, if the service
+	// has that many: during a wave of failures a third of the servers is out of use.
 	Servers int
 }
 
-// DefaultRule returns the rule for a fleet of any size. Fleets of some twelve hosts a data
-// centre have subsets that are everything.
+// DefaultRule returns the rule for fleets of any size. In fleets of about twelve hosts per data
+// centre subsets contain all servers.
 func DefaultRule() Rule { return Rule{Hosts: 8, Servers: 6} }
 
-// width is the part of a ring of servers that one of so many hosts uses.
+// width returns the fraction of a ring of servers that each host of a data centre uses.
 func (r Rule) width(hosts, servers int) float64 {
 	if hosts == 0 || servers == 0 {
 		return 1
@@ -42,20 +41,20 @@
 // Host is a live host.
 type Host struct {
 	Name       string
-	Address    string // of its peer listener, IP:port
+	Address    string // IP:port of the peer listener
 	DataCentre string
 }
 
-// Fleet is the live hosts on their rings.
+// Fleet is the set of live hosts, arranged on a ring per data centre.
 type Fleet struct {
 	rule      Rule
 	self      Host
 	rings     map[string]*ring // by data centre
 	addresses map[string]string
-	segment   []string // see Segment; addresses of the others
+	segment   []string // addresses of the other hosts, see Segment
 }
 
-// NewFleet places the live hosts, of which self is this one.
+// NewFleet arranges the live hosts: self, which is this host, and others.
 func NewFleet(rule Rule, self Host, others []Host) *Fleet {
 	f := &Fleet{rule: rule, self: self, rings: make(map[string]*ring), addresses: make(map[string]string, len(others))}
 	names := map[string][]string{self.DataCentre: {self.Name}}
@@ -63,16 +62,16 @@
 		names[h.DataCentre] = append(names[h.DataCentre], h.Name)
 		f.addresses[h.Name] = h.Address
 	}
-	for dataCentre, in := range names {
-		f.rings[dataCentre] = newRing(in)
+	for dataCentre, hosts := range names {
+		f.rings[dataCentre] = newRing(hosts)
 	}
-	near := f.rings[self.DataCentre]
-	parts := max(near.len()/max(rule.Hosts, 1), 1)
-	f.segment = f.addressesOf(near.segment(self.Name, parts))
+	local := f.rings[self.DataCentre]
+	parts := max(local.len()/max(rule.Hosts, 1), 1)
+	f.segment = f.addressesOf(local.segment(self.Name, parts))
 	return f
 }
 
-// addressesOf leaves this host out.
+// addressesOf returns the addresses of the named hosts except this one.
 func (f *Fleet) addressesOf(names []string) []string {
 	addresses := make([]string, 0, len(names))
 	for _, name := range names {
@@ -89,20 +88,20 @@
 	return address, known
 }
 
-// Segment returns the addresses of the other hosts with which this one shares what
-// holds for a service as a whole, such as its retry allowance. Segments are disjoint:
-// overlapping ones could spend the same allowance twice.
+// Segment returns the addresses of the other hosts with which this one shares state of a service as
+// a whole, such as its retry allowance. Segments are disjoint: overlapping segments could spend the
+// same allowance twice.
 func (f *Fleet) Segment() []string { return f.segment }
 
-// SegmentSize is the number of hosts of this host's segment, itself included.
+// SegmentSize returns the number of hosts in this host's segment, including this host.
 func (f *Fleet) SegmentSize() int { return len(f.segment) + 1 }
 
-// Service is a service's servers on their rings. It does not change.
+// Service is the set of servers of a service, arranged on a ring per data centre. It is immutable.
 type Service struct {
 	rings map[string]*ring // by data centre
 }
 
-// NewService places servers, whose data centres are given by their names.
+// NewService arranges servers; dataCentres maps server names to data centres.
 func NewService(dataCentres map[string]string) *Service {
 	joined := make([]Server, 0, len(dataCentres))
 	for name, dataCentre := range dataCentres {
@@ -111,32 +110,32 @@
 	return (&Service{}).With(joined, nil)
 }
 
-// Server is a server on a ring.
+// Server is a server of a service.
 type Server struct {
 	Name       string
 	DataCentre string
 }
 
 // With returns the service after servers have joined and left. Rings of data centres without
-// either stay as they are.
+// changes are reused.
 func (s *Service) With(joined, left []Server) *Service {
-	added, gone := namesOf(joined), namesOf(left)
+	added, removed := namesByDataCentre(joined), namesByDataCentre(left)
 	next := &Service{rings: maps.Clone(s.rings)}
 	if next.rings == nil {
 		next.rings = make(map[string]*ring)
 	}
-	for dataCentre := range gone {
+	for dataCentre := range removed {
 		if _, both := added[dataCentre]; !both {
 			added[dataCentre] = nil
 		}
 	}
 	for dataCentre, names := range added {
-		next.rings[dataCentre] = next.rings[dataCentre].with(names, gone[dataCentre])
+		next.rings[dataCentre] = next.rings[dataCentre].updated(names, removed[dataCentre])
 	}
 	return next
 }
 
-func namesOf(servers []Server) map[string][]string {
+func namesByDataCentre(servers []Server) map[string][]string {
 	names := make(map[string][]string)
 	for _, s := range servers {
 		names[s.DataCentre] = append(names[s.DataCentre], s.Name)
@@ -144,11 +143,11 @@
 	return names
 }
 
-// find returns the ring on which a server is and its place there.
-func (s *Service) find(server string) (on *ring, place float64, ok bool) {
+// locate returns the ring that contains a server and the position of the server on it.
+func (s *Service) locate(server string) (servers *ring, position float64, ok bool) {
 	for _, r := range s.rings {
-		if place, ok := r.place(server); ok {
-			return r, place, true
+		if position, ok := r.position(server); ok {
+			return r, position, true
 		}
 	}
 	return nil, 0, false
@@ -157,7 +156,7 @@
 // Subset returns the servers that this host uses.
 func (f *Fleet) Subset(s *Service) []string {
 	own := f.rings[f.self.DataCentre]
-	start, _ := own.place(f.self.Name)
+	start, _ := own.position(f.self.Name)
 	var subset []string
 	for _, servers := range s.rings {
 		subset = append(subset, servers.arc(start, f.rule.width(own.len(), servers.len()))...)
@@ -165,22 +164,22 @@
 	return subset
 }
 
-// Audience returns the addresses of the other hosts of a data centre whose subsets hold
-// a server.
+// Audience returns the addresses of the other hosts of a data centre whose subsets contain a
+// server.
 func (f *Fleet) Audience(s *Service, server, dataCentre string) []string {
-	servers, place, ok := s.find(server)
+	servers, position, ok := s.locate(server)
 	if !ok {
 		return nil
 	}
 	hosts := f.rings[dataCentre]
-	return f.addressesOf(hosts.behind(place, f.rule.width(hosts.len(), servers.len())))
+	return f.addressesOf(hosts.covering(position, f.rule.width(hosts.len(), servers.len())))
 }
 
-// otherDataCentres calls do with each data centre other than this host's that has hosts.
-func (f *Fleet) otherDataCentres(do func(dataCentre string)) {
+// forEachRemoteDataCentre calls fn for each data centre, other than this host's, that has hosts.
+func (f *Fleet) forEachRemoteDataCentre(fn func(dataCentre string)) {
 	for dataCentre := range f.rings {
 		if dataCentre != f.self.DataCentre {
-			do(dataCentre)
+			fn(dataCentre)
 		}
 	}
 }
--- a/internal/sharing/sharing_test.go
+++ b/internal/sharing/sharing_test.go
@@ -10,12 +10,12 @@
 	"github.com/pearshelf/pearshelf/internal/api/peerpb"
 )
 
-// site is hosts and servers by data centre.
+// site is a set of hosts and servers in several data centres.
 type site struct {
 	hosts   []Host
 	service *Service
 	servers []string
-	// dataCentre is where each server is.
+	// dataCentre maps each server to its data centre.
 	dataCentre map[string]string
 }
 
@@ -40,13 +40,13 @@
 	return s
 }
 
-// fleet is the view of one host that knows some hosts.
+// fleet returns the view of host i if the live hosts are hosts.
 func fleet(hosts []Host, i int) *Fleet {
 	return NewFleet(DefaultRule(), hosts[i], slices.Concat(hosts[:i], hosts[i+1:]))
 }
 
-// uses returns a host's subset.
-func (s *site) uses(f *Fleet) map[string]bool {
+// subsetOf returns a host's subset.
+func (s *site) subsetOf(f *Fleet) map[string]bool {
 	subset := make(map[string]bool)
 	for _, server := range f.Subset(s.service) {
 		subset[server] = true
@@ -54,24 +54,24 @@
 	return subset
 }
 
-// Each server is in the subsets of about as many hosts of each data centre, whatever
-// hosts are left, down to one.
-func TestEveryServerIsUsed(t *testing.T) {
+// Each server is in the subsets of about the same number of hosts of each data centre, whichever
+// hosts remain, down to one.
+func TestEveryServerIsInSomeSubset(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for _, hosts := range [][]int{{88, 40, 20}, {12, 12, 12}, {200}, {1}, {3, 0, 40}} {
 		s := newSite(hosts, []int{86, 90, 11, 10, 13}[:len(hosts)])
 		for _, left := range []int{len(s.hosts), max(len(s.hosts)/2, 1), max(len(s.hosts)/10, 1), 1} {
 			random.Shuffle(len(s.hosts), func(i, j int) { s.hosts[i], s.hosts[j] = s.hosts[j], s.hosts[i] })
-			s.checkUses(t, s.hosts[:left])
+			s.checkUsers(t, s.hosts[:left])
 		}
 	}
 }
 
-func (s *site) checkUses(t *testing.T, hosts []Host) {
+func (s *site) checkUsers(t *testing.T, hosts []Host) {
 	t.Helper()
 	users := make(map[string]map[string]int) // by server and data centre of the host
 	for i, h := range hosts {
-		for server := range s.uses(fleet(hosts, i)) {
+		for server := range s.subsetOf(fleet(hosts, i)) {
 			if users[server] == nil {
 				users[server] = make(map[string]int)
 			}
@@ -80,7 +80,7 @@
 	}
 	for _, server := range s.servers {
 		if len(users[server]) == 0 {
-			t.Fatalf("of %d hosts none uses %s", len(hosts), server)
+			t.Fatalf("none of %d hosts uses %s", len(hosts), server)
 		}
 	}
 	for _, dataCentre := range slices.Sorted(maps.Keys(users[s.servers[0]])) {
@@ -91,49 +91,50 @@
 			}
 		}
 		if most > least+1 {
-			t.Errorf("%d hosts: servers have %d to %d users in %s", len(hosts), least, most, dataCentre)
+			t.Errorf("%d hosts: servers are used by %d to %d hosts of %s", len(hosts), least, most, dataCentre)
 		}
 	}
 }
 
-// Hosts of a small fleet use everything and tell everybody.
-func TestSmallFleetSharesAll(t *testing.T) {
+// In a small fleet each host uses all servers and reports to all hosts.
+func TestSmallFleetUsesAllServers(t *testing.T) {
 	s := newSite([]int{12, 12, 12}, []int{5, 6, 5})
 	f := fleet(s.hosts, 0)
-	if got := len(s.uses(f)); got != len(s.servers) {
+	if got := len(s.subsetOf(f)); got != len(s.servers) {
 		t.Errorf("uses %d of %d servers", got, len(s.servers))
 	}
 	if f.SegmentSize() != 12 {
-		t.Errorf("shares its allowance with %d hosts, want 12", f.SegmentSize())
+		t.Errorf("segment of %d hosts, want 12", f.SegmentSize())
 	}
 	if near := f.Audience(s.service, "b0-0", "dc0"); len(near) != 11 {
-		t.Errorf("%d hosts are told, want 11", len(near))
+		t.Errorf("%d recipients, want 11", len(near))
 	}
 }
 
-// Who is told of a server are just the hosts whose subsets hold it, as these compute it.
-func TestAudienceIsWhoUsesAServer(t *testing.T) {
+// The recipients of reports about a server are exactly the hosts whose own computation puts the
+// server into their subsets.
+func TestAudienceMatchesSubsets(t *testing.T) {
 	s := newSite([]int{88, 99, 87}, []int{86, 11, 46})
 	f := fleet(s.hosts, 5)
 	for _, server := range []string{"b0-3", "b1-0", "b1-10", "b2-45"} {
 		for _, dataCentre := range []string{"dc0", "dc1", "dc2"} {
 			var users []string
 			for i, h := range s.hosts {
-				if i != 5 && h.DataCentre == dataCentre && s.uses(fleet(s.hosts, i))[server] {
+				if i != 5 && h.DataCentre == dataCentre && s.subsetOf(fleet(s.hosts, i))[server] {
 					users = append(users, h.Name)
 				}
 			}
-			told := f.Audience(s.service, server, dataCentre)
-			slices.Sort(told)
+			recipients := f.Audience(s.service, server, dataCentre)
+			slices.Sort(recipients)
 			slices.Sort(users)
-			if !slices.Equal(told, users) {
-				t.Errorf("%s in %s: told %v, used by %v", server, dataCentre, told, users)
+			if !slices.Equal(recipients, users) {
+				t.Errorf("%s in %s: recipients %v, used by %v", server, dataCentre, recipients, users)
 			}
 		}
 	}
 }
 
-// Segments are disjoint, cover all hosts, and are of about one size.
+// Segments are disjoint, cover all hosts and are of similar size.
 func TestSegmentsAreDisjoint(t *testing.T) {
 	for _, n := range []int{1, 7, 8, 15, 16, 35, 88, 220} {
 		s := newSite([]int{n}, []int{n})
@@ -146,16 +147,16 @@
 				mine := i == j || slices.Contains(f.Segment(), s.hosts[j].Address)
 				theirs := i == j || slices.Contains(fleet(s.hosts, j).Segment(), h.Address)
 				if mine != theirs {
-					t.Fatalf("%d hosts: %s and %s do not agree on their segment", n, h.Name, s.hosts[j].Name)
+					t.Fatalf("%d hosts: %s and %s disagree on their segment", n, h.Name, s.hosts[j].Name)
 				}
 			}
 		}
 	}
 }
 
-// When hosts come and go, subsets move by little: what is kept of the connections and
-// the evidence of a host.
-func TestSubsetsMoveByLittle(t *testing.T) {
+// Subsets change little when hosts join and leave, so that hosts keep most of their connections and
+// of their evidence.
+func TestSubsetsAreStable(t *testing.T) {
 	s := newSite([]int{60, 60, 60}, []int{86, 86, 86})
 	random := rand.New(rand.NewPCG(2, 2))
 	shuffled := slices.Clone(s.hosts)
@@ -169,9 +170,9 @@
 		before, after []Host
 		kept          float64
 	}{
-		"one in ten replaced":   {shuffled, replaced, 0.7},
-		"a data centre is lost": {shuffled, without, 1},
-		"twice as many":         {shuffled[:len(shuffled)/2], shuffled, 0.35}, // subsets are half as wide then
+		"one in ten replaced":     {shuffled, replaced, 0.7},
+		"one data centre lost":    {shuffled, without, 1},
+		"number of hosts doubled": {shuffled[:len(shuffled)/2], shuffled, 0.35}, // subsets become half as wide
 	} {
 		if kept := s.kept(change.before, change.after); kept < change.kept {
 			t.Errorf("%s: a host keeps %.2f of its subset, want %.2f", name, kept, change.kept)
@@ -179,8 +180,8 @@
 	}
 }
 
-// kept is the part of the subsets before a change that hosts still use after it, on
-// average over hosts that stay.
+// kept returns the fraction of the subsets before a change that hosts still use after it, over
+// hosts that remain.
 func (s *site) kept(before, after []Host) float64 {
 	held, kept := 0, 0
 	for i, h := range before[:60] {
@@ -188,8 +189,8 @@
 		if j < 0 {
 			continue
 		}
-		now := s.uses(fleet(after, j))
-		for server := range s.uses(fleet(before, i)) {
+		now := s.subsetOf(fleet(after, j))
+		for server := range s.subsetOf(fleet(before, i)) {
 			held++
 			if now[server] {
 				kept++
@@ -199,7 +200,8 @@
 	return float64(kept) / float64(held)
 }
 
-// Receivers that are told alike get one message; each is told of what it uses only.
+// Receivers of the same loads share one message, and each receives only loads of servers that it
+// uses.
 func TestMessages(t *testing.T) {
 	s := newSite([]int{88, 88}, []int{86, 86})
 	f := fleet(s.hosts, 0)
@@ -210,37 +212,37 @@
 		return s.service
 	}
 	loads := []*peerpb.BackendLoad{{Service: "seats", Backend: "b0-1"}, {Service: "seats"}, {Service: "gone", Backend: "b0-2"}}
-	told := make(map[string][]*peerpb.BackendLoad)
+	received := make(map[string][]*peerpb.BackendLoad)
 	for _, m := range f.Near(loads, service) {
 		if !m.Near || len(m.Loads) == 0 {
 			t.Errorf("message %+v", m)
 		}
 		for _, to := range m.To {
-			if told[to] != nil {
-				t.Errorf("%s is told twice", to)
+			if received[to] != nil {
+				t.Errorf("%s receives more than one message", to)
 			}
-			told[to] = m.Loads
+			received[to] = m.Loads
 		}
 	}
 	audience := f.Audience(s.service, "b0-1", "dc0")
-	for to, got := range told {
+	for to, got := range received {
 		if slices.Contains(got, loads[0]) != slices.Contains(audience, to) || slices.Contains(got, loads[1]) != slices.Contains(f.Segment(), to) {
-			t.Errorf("%s is told %v", to, got)
+			t.Errorf("%s receives %v", to, got)
 		}
 	}
-	if len(told) < max(len(audience), len(f.Segment())) {
-		t.Errorf("%d hosts are told", len(told))
+	if len(received) < max(len(audience), len(f.Segment())) {
+		t.Errorf("%d receivers", len(received))
 	}
 	for _, m := range f.Far(loads[:1], service) {
 		if m.Near || !slices.Equal(m.To, slices.Sorted(slices.Values(f.Audience(s.service, "b0-1", "dc1")))) {
-			t.Errorf("far message %+v", m)
+			t.Errorf("remote message %+v", m)
 		}
 	}
 }
 
-// Rings that are brought up to date by changes are those that are made anew, and so are subsets
-// and audiences.
-func TestChangedServiceIsAsMadeAnew(t *testing.T) {
+// A service that is updated incrementally yields the same subsets and audiences as one built from
+// scratch.
+func TestUpdatedServiceEqualsNewService(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 1))
 	s := newSite([]int{30, 20}, []int{40, 17})
 	changed := s.service
@@ -257,22 +259,22 @@
 			}
 		}
 		for i := range random.IntN(5) {
-			one := Server{fmt.Sprintf("new%d-%d", round, i), fmt.Sprint("dc", random.IntN(3))}
-			joined = append(joined, one)
-			held[one.Name] = one.DataCentre
+			added := Server{fmt.Sprintf("new%d-%d", round, i), fmt.Sprint("dc", random.IntN(3))}
+			joined = append(joined, added)
+			held[added.Name] = added.DataCentre
 		}
 		changed = changed.With(joined, left)
-		anew := NewService(held)
+		rebuilt := NewService(held)
 		f := fleet(s.hosts, random.IntN(len(s.hosts)))
-		got, want := f.Subset(changed), f.Subset(anew)
+		got, want := f.Subset(changed), f.Subset(rebuilt)
 		slices.Sort(got)
 		slices.Sort(want)
 		if !slices.Equal(got, want) {
-			t.Fatalf("round %d: subset %v, made anew %v", round, got, want)
+			t.Fatalf("round %d: subset %v, want %v as of a new service", round, got, want)
 		}
 		for name := range held {
-			if !slices.Equal(f.Audience(changed, name, "dc0"), f.Audience(anew, name, "dc0")) {
-				t.Fatalf("round %d: audience of %s differs", round, name)
+			if !slices.Equal(f.Audience(changed, name, "dc0"), f.Audience(rebuilt, name, "dc0")) {
+				t.Fatalf("round %d: audience of %s differs from that of a new service", round, name)
 			}
 		}
 	}
