--- a/internal/gossip/queue.go
+++ b/internal/gossip/queue.go
@@ -1,7 +1,7 @@
-// Package gossip queues changes that a host passes on in its datagrams, each a
-// bounded number of times (infection-style dissemination). A change that other hosts
-// tell this one counts as passed on: it is known already (Demers et al., "Epidemic
-// algorithms for replicated database maintenance", 1987, feedback and counter).
+// Package gossip queues changes that a host passes on in its datagrams, each a bounded number of
+// times (infection-style dissemination). Receiving a queued change from other hosts counts towards
+// that number, because the change is already known there (Demers et al., "Epidemic algorithms for
+// replicated database maintenance", 1987, feedback and counter).
 package gossip
 
 import (
@@ -12,51 +12,52 @@
 	"github.com/pearshelf/pearshelf/internal/api/peerpb"
 )
 
-// MaxDatagramBytes bounds the encoded size, below common MTUs so that a
-// datagram is never fragmented.
+// MaxDatagramBytes is the maximum encoded size of a datagram. It is below common MTUs, so that
+// datagrams are never fragmented.
 const MaxDatagramBytes = 1200
 
-// envelopeBytes is kept free for the datagram's own fields.
-const envelopeBytes = 120
+// envelopeReserveBytes is reserved for the datagram's own fields.
+const envelopeReserveBytes = 120
 
-// itemOverheadBytes is the tag and length of one repeated field.
+// itemOverheadBytes is the size of the tag and length of one repeated field.
 const itemOverheadBytes = 4
 
-// leastItemBytes is the room below which no further change is looked for: a membership
-// row takes some 60 bytes.
-const leastItemBytes = 40
+// minItemBytes is the remaining space below which no further change is considered: a membership
+// row takes about 60 bytes.
+const minItemBytes = 40
 
-// extraTransmits is c. A host that hears a change from as many as it tells sends it
-// two in three of these times. What misses a host waits for the full comparison; at 8
-// changes did (TestGossipReachesEveryHost).
+// extraTransmits is the constant c of TransmitLimit. A host that receives a change as often as it
+// sends it makes two thirds of these transmissions. Changes that miss a host are repaired only by
+// the next full-state comparison; with 8, some did miss hosts (TestGossipReachesEveryHost).
 const extraTransmits = 12
 
-// heardPerTransmit is how often a change is heard from others until it counts as sent
-// once more: where all hosts start at once, most of what one tells is known to all. At 1,
-// changes missed hosts (2 of 2,400 in fleets of 40).
-const heardPerTransmit = 2
+// receiptsPerTransmit is the number of receipts of a change from other hosts that count as one
+// transmission: when all hosts start together, most changes that a host sends are already known.
+// With 1, changes missed hosts (2 of 2,400 in fleets of 40).
+const receiptsPerTransmit = 2
 
-// comparedTransmits is how often a change is sent that came by a full comparison. After a
-// start of 443 hosts at once all of them agree by comparisons within 1.1 s; told as
-// often as others, the changes went round for 5 s more, at 32 KB a host and second instead
-// of 12 (simulated). At 5 and with fewer comparisons some hosts missed some.
-const comparedTransmits = 7
+// syncTransmits is how many times a change learned by a full-state comparison is sent. When 443
+// hosts start at once, comparisons make all of them agree within 1.1 s. With the full number of
+// transmissions such changes circulated for 5 s longer, at 32 KB/s per host instead of 12
+// (simulated). With 5 and fewer comparisons, some hosts missed changes.
+const syncTransmits = 7
 
+// item is a queued change: either a member or a register.
 type item struct {
-	key      string
-	size     int
-	sent     int
-	heard    int  // from others, since it was last counted as sent
-	replaced bool // by a newer one of the same key
-	member   *peerpb.Member
-	register *peerpb.Register
+	key        string
+	size       int
+	transmits  int
+	receipts   int  // from other hosts, since they last counted as a transmission
+	superseded bool // by a newer change with the same key
+	member     *peerpb.Member
+	register   *peerpb.Register
 }
 
-// Queue is not safe for concurrent use.
+// Queue holds the changes to pass on. It is not safe for concurrent use.
 type Queue struct {
 	byKey map[string]*item
-	// levels are the changes by how often they were sent, in the order in which they
-	// came to that level; those replaced are dropped when they are met.
+	// levels are the changes by number of transmissions, each level in the order of arrival there.
+	// Superseded changes are removed when they are encountered.
 	levels [][]*item
 }
 
@@ -65,110 +66,108 @@
 
 func memberKey(host string) string { return "member/" + host }
 
-// AddMember queues a membership change in place of older ones of that host.
+// AddMember queues a membership change, which supersedes queued changes of the same host.
 func (q *Queue) AddMember(m *peerpb.Member) {
 	q.add(&item{key: memberKey(m.Host), size: proto.Size(m), member: m})
 }
 
-// AddComparedMember queues a membership change that this host has by comparing its whole
-// state with another: that is a second way to each host, so that it is sent fewer times.
-// n is the number of live hosts.
-func (q *Queue) AddComparedMember(m *peerpb.Member, n int) {
-	q.add(&item{key: memberKey(m.Host), size: proto.Size(m), member: m, sent: max(Limit(n)-comparedTransmits, 0)})
+// AddSyncedMember queues a membership change that this host learned by a full-state comparison.
+// It is sent fewer times, because comparisons are a second path to every host. n is the number of
+// live hosts.
+func (q *Queue) AddSyncedMember(m *peerpb.Member, n int) {
+	q.add(&item{key: memberKey(m.Host), size: proto.Size(m), member: m, transmits: max(TransmitLimit(n)-syncTransmits, 0)})
 }
 
-// AddRegister queues a register in place of older values.
+// AddRegister queues a register, which supersedes queued values of the same key.
 func (q *Queue) AddRegister(r *peerpb.Register) {
 	q.add(&item{key: "register/" + r.Key, size: proto.Size(r), register: r})
 }
 
 func (q *Queue) add(added *item) {
-	if held, ok := q.byKey[added.key]; ok {
-		held.replaced = true
+	if queued, ok := q.byKey[added.key]; ok {
+		queued.superseded = true
 	}
 	q.byKey[added.key] = added
-	q.put(added)
+	q.enqueue(added)
 }
 
-// put adds a change to the level of how often it was sent.
-func (q *Queue) put(it *item) {
-	for len(q.levels) <= it.sent {
+// enqueue adds a change to the level of its number of transmissions.
+func (q *Queue) enqueue(it *item) {
+	for len(q.levels) <= it.transmits {
 		q.levels = append(q.levels, nil)
 	}
-	q.levels[it.sent] = append(q.levels[it.sent], it)
+	q.levels[it.transmits] = append(q.levels[it.transmits], it)
 }
 
-// MemberKnown notes that another host has told this one of a member's state that is
-// queued.
-func (q *Queue) MemberKnown(host string) {
-	held, ok := q.byKey[memberKey(host)]
+// MemberReceived records that another host has sent the queued state of a member.
+func (q *Queue) MemberReceived(host string) {
+	queued, ok := q.byKey[memberKey(host)]
 	if !ok {
 		return
 	}
-	held.heard++
-	if held.heard < heardPerTransmit {
+	queued.receipts++
+	if queued.receipts < receiptsPerTransmit {
 		return
 	}
-	next := *held
-	next.heard = 0
-	next.sent++
-	held.replaced = true
+	next := *queued
+	next.receipts = 0
+	next.transmits++
+	queued.superseded = true
 	q.byKey[next.key] = &next
-	q.put(&next)
+	q.enqueue(&next)
 }
 
 // Len returns the number of queued changes.
 func (q *Queue) Len() int { return len(q.byKey) }
 
-// Limit returns how often each host sends a change in a fleet of n hosts. If
-// each sends it to ln(n)+c random others, e^-c hosts are expected to miss it.
-func Limit(n int) int {
+// TransmitLimit returns how many times each host sends a change in a fleet of n hosts. If each host
+// sends it to ln(n)+c random others, e^-c hosts are expected to miss it.
+func TransmitLimit(n int) int {
 	return int(math.Ceil(math.Log(float64(n+1)))) + extraTransmits
 }
 
-// Fill adds the least-sent changes that fit to a datagram. n is the number of
-// live hosts.
+// Fill adds those of the least-sent changes that fit to a datagram. n is the number of live hosts.
 func (q *Queue) Fill(d *peerpb.Datagram, n int) {
 	if len(q.byKey) == 0 {
 		return
 	}
-	left := MaxDatagramBytes - envelopeBytes - proto.Size(d)
-	limit := Limit(n)
+	left := MaxDatagramBytes - envelopeReserveBytes - proto.Size(d)
+	limit := TransmitLimit(n)
 	var sent []*item
 	for level := range q.levels {
 		if level >= limit {
-			q.drop(level)
-		} else if left >= leastItemBytes {
-			sent = append(sent, q.fillFrom(level, d, &left)...)
+			q.dropLevel(level)
+		} else if left >= minItemBytes {
+			sent = append(sent, q.fillFromLevel(level, d, &left)...)
 		}
 	}
 	for _, it := range sent {
-		it.sent++
-		if it.sent >= limit {
+		it.transmits++
+		if it.transmits >= limit {
 			delete(q.byKey, it.key)
 		} else {
-			q.put(it)
+			q.enqueue(it)
 		}
 	}
 }
 
-// fillFrom moves changes of a level to a datagram while there is room.
-func (q *Queue) fillFrom(level int, d *peerpb.Datagram, left *int) (sent []*item) {
+// fillFromLevel moves changes of a level to a datagram while there is space.
+func (q *Queue) fillFromLevel(level int, d *peerpb.Datagram, left *int) (sent []*item) {
 	items := q.levels[level]
 	kept := items[:0]
 	for i, it := range items {
-		if *left < leastItemBytes {
+		if *left < minItemBytes {
 			kept = append(kept, items[i:]...)
 			break
 		}
 		need := it.size + itemOverheadBytes
 		switch {
-		case it.replaced:
+		case it.superseded:
 		case need > *left:
 			kept = append(kept, it)
 		default:
 			*left -= need
-			it.attach(d)
+			it.appendTo(d)
 			sent = append(sent, it)
 		}
 	}
@@ -177,17 +176,17 @@
 	return sent
 }
 
-// drop forgets the changes of a level.
-func (q *Queue) drop(level int) {
+// dropLevel discards the changes of a level.
+func (q *Queue) dropLevel(level int) {
 	for _, it := range q.levels[level] {
-		if !it.replaced {
+		if !it.superseded {
 			delete(q.byKey, it.key)
 		}
 	}
 	q.levels[level] = nil
 }
 
-func (it *item) attach(d *peerpb.Datagram) {
+func (it *item) appendTo(d *peerpb.Datagram) {
 	if it.member != nil {
 		d.Members = append(d.Members, it.member)
 		return
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -1,40 +1,41 @@
-// Package membership keeps the list of live hosts with SWIM (Das et al., 2002)
-// and Lifeguard's local health awareness (Dadgar et al., 2018). The list is a
-// pure state machine: it takes times and datagrams and returns datagrams.
+// Package membership maintains the list of live hosts with SWIM (Das et al., 2002) and
+// Lifeguard's local health awareness (Dadgar et al., 2018). The list is a pure state machine:
+// its inputs are times and datagrams, and its outputs are datagrams.
 package membership
 
 import "time"
 
-// Defaults.
+// Defaults of Config and constants of the protocol.
 const (
-	DefaultIndirectChecks     = 3
-	DefaultSuspicionMult      = 4
-	DefaultGossipFanout       = 3
-	DefaultSyncInterval       = 30 * time.Second
-	DefaultReconnectInterval  = 3 * time.Second
-	DefaultReapAfter          = 30 * time.Minute
-	DefaultAwarenessMax       = 8
-	pauseFactor               = 3
-	relayLifetimeProbePeriods = 2
-	// youngSeeds is how many known hosts a new host asks at its start.
-	youngSeeds = 3
-	// youngSyncHosts is up to how many hosts a young host compares its full state
-	// with known hosts again: three known hosts then answer some 20 a second each.
-	youngSyncHosts = 60
-	// farComparisons: one in so many full comparisons is with a host of another data centre.
-	// What gossip has lost there is made up by any of a data centre's hosts.
-	farComparisons = 8
-	// farTellings is how often all hosts of a data centre together tell a change to
-	// the hosts of each other one. Bytes between data centres are dear, and of 20
-	// datagrams all are lost never; within a data centre each host sends each change
-	// Limit times.
-	farTellings = 20
+	DefaultIndirectChecks    = 3
+	DefaultSuspicionMult     = 4
+	DefaultGossipFanout      = 3
+	DefaultSyncInterval      = 30 * time.Second
+	DefaultReconnectInterval = 3 * time.Second
+	DefaultReapAfter         = 30 * time.Minute
+	DefaultAwarenessMax      = 8
+	pauseProbeIntervals      = 3
+	relayTTLProbeIntervals   = 2
+	// bootstrapSyncFanout is the number of known hosts with which a new host first compares its
+	// state.
+	bootstrapSyncFanout = 3
+	// bootstrapSyncMaxHosts is the largest fleet in which a new host repeats full-state comparisons
+	// with the known hosts. At this size each of three known hosts answers about 20 per second.
+	bootstrapSyncMaxHosts = 60
+	// remoteSyncRatio is the number of full-state comparisons of which one is with a host of another
+	// data centre. Any host of a data centre can recover changes that gossip lost on the way there.
+	remoteSyncRatio = 8
+	// remoteTransmits is how many times the hosts of a data centre, taken together, send a change
+	// to each other data centre. Traffic between data centres is expensive, and losing all of 20
+	// datagrams is negligibly rare. Within a data centre each host sends each change
+	// gossip.TransmitLimit times.
+	remoteTransmits = 20
 )
 
-// youngSyncs are the ages at which a new host compares its state with known
-// hosts, which may start 0.4 s later than it. 36 hosts that start together know
-// each other after 0.2 s, by gossip alone after 0.9 s.
-var youngSyncs = []time.Duration{
+// bootstrapSyncAges are the ages at which a new host compares its state with known hosts, which
+// may start up to 0.4 s after it. With these, 36 hosts that start together know each other after
+// 0.2 s, compared with 0.9 s by gossip alone.
+var bootstrapSyncAges = []time.Duration{
 	0,
 	100 * time.Millisecond,
 	200 * time.Millisecond,
@@ -44,45 +45,46 @@
 	900 * time.Millisecond,
 }
 
-// Config of a List.
+// Config configures a List.
 type Config struct {
 	// Host, Address (IP:port) and DataCentre describe this host.
 	Host       string
 	Address    string
 	DataCentre string
-	// Capacity is what this host can bear beside its requests, in thousandths of a core, 0 if
-	// not known. Others are told.
+	// Capacity is what this host can handle in addition to its own requests, in thousandths of a
+	// core, 0 if unknown. It is announced to the other hosts.
 	Capacity uint32
-	// ProbeInterval is the period in which one member is probed. Shorter finds
-	// dead hosts sooner and costs more datagrams.
+	// ProbeInterval is the period between probes; each probes one member. Shorter intervals detect
+	// dead hosts sooner and cost more datagrams.
 	ProbeInterval time.Duration
-	// ProbeTimeout is the wait for a direct answer before others are asked.
+	// ProbeTimeout is how long to wait for a direct acknowledgement before indirect probes are
+	// requested.
 	ProbeTimeout time.Duration
 	// GossipInterval is the period of datagrams that carry only changes.
 	GossipInterval time.Duration
-	// IndirectChecks is how many others are asked to probe a silent member.
-	// More survive more one-way cuts and cost more datagrams.
+	// IndirectChecks is the number of members asked to probe an unresponsive member. Larger values
+	// tolerate more one-way path failures and cost more datagrams.
 	IndirectChecks int
-	// SuspicionMult scales how long a suspect may refute. Longer makes fewer
-	// false deaths and later true ones.
+	// SuspicionMult scales the time a suspect has to refute. Larger values cause fewer false deaths
+	// and detect true ones later.
 	SuspicionMult int
-	// GossipFanout is how many members get each change datagram.
+	// GossipFanout is the number of members that receive each gossip datagram.
 	GossipFanout int
-	// SyncInterval is the period of full-state comparison with one member.
+	// SyncInterval is the period of full-state comparisons with one member.
 	SyncInterval time.Duration
-	// ReconnectInterval is the period of attempts to reach one dead or unknown
-	// host, which heals partitions.
+	// ReconnectInterval is the period of attempts to reach one dead or unknown host, which heals
+	// partitions.
 	ReconnectInterval time.Duration
-	// ReapAfter is how long dead rows are kept.
+	// ReapAfter is how long the rows of hosts that are dead or have left are kept.
 	ReapAfter time.Duration
-	// AwarenessMax bounds the local health score.
+	// AwarenessMax is the upper bound of the local health score.
 	AwarenessMax int
-	// Seed of the random choices.
+	// Seed seeds the random choices.
 	Seed uint64
 }
 
-// SetDefaults fills in unset fields; the three intervals of the probe have no
-// default here.
+// SetDefaults fills in unset fields, except ProbeInterval, ProbeTimeout and GossipInterval, which
+// have no default here.
 func (c *Config) SetDefaults() {
 	setInt(&c.IndirectChecks, DefaultIndirectChecks)
 	setInt(&c.SuspicionMult, DefaultSuspicionMult)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -8,26 +8,26 @@
 	"github.com/pearshelf/pearshelf/internal/gossip"
 )
 
-// probe is the one outstanding check of a member.
+// probe is the outstanding probe of a member. There is at most one.
 type probe struct {
-	target   string
-	sequence uint64
-	indirect time.Time // when others are asked
-	deadline time.Time // when the member becomes suspect
-	asked    bool
+	target       string
+	sequence     uint64
+	indirectAt   time.Time // when indirect probes are requested
+	deadline     time.Time // when the member becomes suspect
+	indirectSent bool
 }
 
-// relay is a check made for another host.
+// relay is a probe made on behalf of another host.
 type relay struct {
-	to       string
+	origin   string
 	sequence uint64
 	expires  time.Time
 }
 
-// Tick advances timers and returns the datagrams to send.
+// Tick advances all timers and returns the datagrams to send.
 func (l *List) Tick(now time.Time) []Packet {
-	if gap := now.Sub(l.lastTick); gap > pauseFactor*l.conf.ProbeInterval {
-		l.forgivePause(gap)
+	if gap := now.Sub(l.lastTick); gap > pauseProbeIntervals*l.conf.ProbeInterval {
+		l.extendDeadlines(gap)
 	}
 	l.lastTick = now
 	l.expireSuspicions(now)
@@ -37,10 +37,10 @@
 	return out
 }
 
-// Calm reports whether nothing waits for the next tick: no probe is unanswered, no
-// member suspected, no change to be told.
+// Calm reports whether the next tick has nothing pending: no probe is unanswered, no member is
+// suspected and no change is queued.
 func (l *List) Calm() bool {
-	return l.probe == nil && len(l.rows.suspects) == 0 && l.queue.Len() == 0 && l.youngDone == len(youngSyncs)
+	return l.probe == nil && len(l.table.suspects) == 0 && l.queue.Len() == 0 && l.bootstrapSyncs == len(bootstrapSyncAges)
 }
 
 func (l *List) runProbe(now time.Time, out []Packet) []Packet {
@@ -52,48 +52,48 @@
 	}
 	l.nextProbe = now.Add(l.conf.ProbeInterval)
 	l.reap(now)
-	l.dropRelays(now)
-	target := l.nextTarget()
+	l.expireRelays(now)
+	target := l.nextProbeTarget()
 	if target == nil {
 		return out
 	}
 	l.sequence++
 	l.probe = &probe{
-		target:   target.Host,
-		sequence: l.sequence,
-		indirect: now.Add(l.awareness.scale(l.conf.ProbeTimeout)),
-		deadline: now.Add(l.awareness.scale(l.conf.ProbeInterval)),
+		target:     target.Host,
+		sequence:   l.sequence,
+		indirectAt: now.Add(l.awareness.scaleTimeout(l.conf.ProbeTimeout)),
+		deadline:   now.Add(l.awareness.scaleTimeout(l.conf.ProbeInterval)),
 	}
 	ping := &peerpb.Datagram{Kind: peerpb.Datagram_KIND_PING, Sequence: l.sequence}
 	if target.Liveness == peerpb.Liveness_LIVENESS_SUSPECT {
-		ping.Members = append(ping.Members, target) // lets it refute at once
+		ping.Members = append(ping.Members, target) // lets the target refute immediately
 	}
 	return append(out, l.packet(target.Address, ping))
 }
 
 func (l *List) checkProbe(now time.Time, out []Packet) []Packet {
 	p := l.probe
-	target, ok := l.rows.byHost[p.target]
+	target, ok := l.table.byHost[p.target]
 	if !ok {
 		l.probe = nil
 		return out
 	}
-	if !p.asked && !now.Before(p.indirect) {
-		p.asked = true
-		out = l.askOthers(p, out)
+	if !p.indirectSent && !now.Before(p.indirectAt) {
+		p.indirectSent = true
+		out = l.sendPingRequests(p, out)
 	}
 	if now.Before(p.deadline) {
 		return out
 	}
 	l.probe = nil
-	l.awareness.add(1)
+	l.awareness.applyDelta(1)
 	if target.member.Liveness == peerpb.Liveness_LIVENESS_ALIVE {
-		l.mark(now, target, peerpb.Liveness_LIVENESS_SUSPECT)
+		l.setLiveness(now, target, peerpb.Liveness_LIVENESS_SUSPECT)
 	}
 	return out
 }
 
-func (l *List) askOthers(p *probe, out []Packet) []Packet {
+func (l *List) sendPingRequests(p *probe, out []Packet) []Packet {
 	for _, m := range l.randomLive(l.conf.IndirectChecks, p.target) {
 		request := &peerpb.Datagram{Kind: peerpb.Datagram_KIND_PING_REQUEST, Sequence: p.sequence, Target: p.target}
 		out = append(out, l.packet(m.Address, request))
@@ -101,13 +101,13 @@
 	return out
 }
 
-// nextTarget goes round all live members in random order.
-func (l *List) nextTarget() *peerpb.Member {
+// nextProbeTarget returns the next live member of a round through all members in random order.
+func (l *List) nextProbeTarget() *peerpb.Member {
 	for range 2 {
 		for len(l.probeOrder) > 0 {
 			host := l.probeOrder[len(l.probeOrder)-1]
 			l.probeOrder = l.probeOrder[:len(l.probeOrder)-1]
-			if r, ok := l.rows.byHost[host]; ok && isLive(r.member) && host != l.conf.Host {
+			if r, ok := l.table.byHost[host]; ok && isLive(r.member) && host != l.conf.Host {
 				return r.member
 			}
 		}
@@ -132,20 +132,20 @@
 	return out
 }
 
-// gossipTargets picks random live members, those of other data centres only
-// now and then: bytes to them are dear, and one of them tells all others there.
+// gossipTargets picks random live members. Members of other data centres are picked rarely:
+// traffic between data centres is expensive, and a single recipient passes the changes on there.
 func (l *List) gossipTargets() []*peerpb.Member {
-	lists := l.rows.sorted(l.conf.Host)
+	view := l.table.currentView(l.conf.Host)
 	targets := make([]*peerpb.Member, 0, l.conf.GossipFanout)
 	for range l.conf.GossipFanout {
-		from := lists.near
-		if len(from) == 0 || len(lists.far) > 0 && l.rng.Float64() < l.farShare(lists) {
-			from = lists.far
+		candidates := view.local
+		if len(candidates) == 0 || len(view.remote) > 0 && l.rng.Float64() < l.remoteShare(view) {
+			candidates = view.remote
 		}
-		if len(from) == 0 {
+		if len(candidates) == 0 {
 			break
 		}
-		m := from[l.rng.IntN(len(from))]
+		m := candidates[l.rng.IntN(len(candidates))]
 		if !slices.Contains(targets, m) {
 			targets = append(targets, m)
 		}
@@ -153,18 +153,18 @@
 	return targets
 }
 
-// farShare is the part of the datagrams with changes that go to other data centres, so
-// that all hosts of this one together tell each change farTellings times to the hosts
-// of each other one, as long as that is no more than any host would get.
-func (l *List) farShare(lists *lists) float64 {
-	near, far := float64(len(lists.near)+1), float64(len(lists.far))
-	tellings := float64(gossip.Limit(l.Live())) * near
-	return min(farTellings*far/near/tellings, far/(near+far))
+// remoteShare is the fraction of gossip datagrams that go to other data centres. It is such that
+// the hosts of this data centre together send each change remoteTransmits times to each other
+// one, and at most the fraction that a uniform choice among all hosts would give.
+func (l *List) remoteShare(view *view) float64 {
+	local, remote := float64(len(view.local)+1), float64(len(view.remote))
+	transmits := float64(gossip.TransmitLimit(l.Live())) * local
+	return min(remoteTransmits*remote/local/transmits, remote/(local+remote))
 }
 
-// randomLive picks up to n live members other than this host and except.
+// randomLive picks up to n random live members other than this host and except.
 func (l *List) randomLive(n int, except string) []*peerpb.Member {
-	others := l.rows.sorted(l.conf.Host).others
+	others := l.table.currentView(l.conf.Host).others
 	var chosen []*peerpb.Member
 	for _, i := range l.rng.Perm(len(others)) {
 		if len(chosen) == n {
@@ -177,68 +177,71 @@
 	return chosen
 }
 
-// packet completes a datagram with the sender and queued changes.
+// packet completes a datagram with the sender and with queued changes.
 func (l *List) packet(to string, d *peerpb.Datagram) Packet {
 	d.From = l.conf.Host
 	l.queue.Fill(d, l.Live())
 	return Packet{To: to, Datagram: d}
 }
 
-// Receive takes a datagram that came from an address and returns replies.
-// Registers and evidence in it are the caller's to handle.
+// Receive processes a datagram from an address and returns the replies. Registers and evidence
+// in the datagram are left to the caller.
 func (l *List) Receive(now time.Time, address string, d *peerpb.Datagram) []Packet {
-	l.lastHeard = now
-	l.told(now, d.Members)
+	l.lastContact = now
+	l.mergeGossip(now, d.Members)
 	switch d.Kind {
 	case peerpb.Datagram_KIND_PING:
-		return []Packet{l.ack(address, d)}
+		return []Packet{l.newAck(address, d)}
 	case peerpb.Datagram_KIND_PING_REQUEST:
 		return l.relayProbe(now, address, d)
 	case peerpb.Datagram_KIND_ACK:
-		return l.acked(now, d)
+		return l.handleAck(now, d)
 	}
 	return nil
 }
 
-// ack answers a ping. A sender that this host holds for dead is told so, and
-// can refute.
-func (l *List) ack(address string, d *peerpb.Datagram) Packet {
+// newAck returns the acknowledgement of a ping. It includes the sender's own row if this host
+// does not consider the sender alive, so that the sender can refute.
+func (l *List) newAck(address string, d *peerpb.Datagram) Packet {
 	reply := &peerpb.Datagram{Kind: peerpb.Datagram_KIND_ACK, Sequence: d.Sequence}
-	if r, ok := l.rows.byHost[d.From]; ok && r.member.Liveness != peerpb.Liveness_LIVENESS_ALIVE {
+	if r, ok := l.table.byHost[d.From]; ok && r.member.Liveness != peerpb.Liveness_LIVENESS_ALIVE {
 		reply.Members = append(reply.Members, r.member)
 	}
 	return l.packet(address, reply)
 }
 
+// relayProbe probes a member on behalf of the host that requested it.
 func (l *List) relayProbe(now time.Time, address string, d *peerpb.Datagram) []Packet {
-	target, ok := l.rows.byHost[d.Target]
+	target, ok := l.table.byHost[d.Target]
 	if !ok {
 		return nil
 	}
 	l.sequence++
 	l.relays[l.sequence] = relay{
-		to:       address,
+		origin:   address,
 		sequence: d.Sequence,
-		expires:  now.Add(relayLifetimeProbePeriods * l.conf.ProbeInterval),
+		expires:  now.Add(relayTTLProbeIntervals * l.conf.ProbeInterval),
 	}
 	ping := &peerpb.Datagram{Kind: peerpb.Datagram_KIND_PING, Sequence: l.sequence}
 	return []Packet{l.packet(target.member.Address, ping)}
 }
 
-func (l *List) acked(now time.Time, d *peerpb.Datagram) []Packet {
+// handleAck forwards the acknowledgement of a relayed probe, or completes the outstanding probe.
+func (l *List) handleAck(now time.Time, d *peerpb.Datagram) []Packet {
 	if r, ok := l.relays[d.Sequence]; ok {
 		delete(l.relays, d.Sequence)
-		return []Packet{l.packet(r.to, &peerpb.Datagram{Kind: peerpb.Datagram_KIND_ACK, Sequence: r.sequence})}
+		return []Packet{l.packet(r.origin, &peerpb.Datagram{Kind: peerpb.Datagram_KIND_ACK, Sequence: r.sequence})}
 	}
 	if l.probe == nil || d.Sequence != l.probe.sequence {
 		return nil
 	}
-	l.awareness.add(-1)
+	l.awareness.applyDelta(-1)
 	l.probe = nil
 	return nil
 }
 
-func (l *List) dropRelays(now time.Time) {
+// expireRelays removes relays whose acknowledgement is overdue.
+func (l *List) expireRelays(now time.Time) {
 	for sequence, r := range l.relays {
 		if now.After(r.expires) {
 			delete(l.relays, sequence)
@@ -246,88 +249,90 @@
 	}
 }
 
-// SyncTargets returns the addresses with which full state should be compared
-// now: one live member each SyncInterval and one that is dead, or known only
-// to the platform or the settings, each ReconnectInterval. known are the
-// addresses of the platform and the settings.
+// SyncTargets returns the addresses with which to compare the full state now: one live member per
+// SyncInterval, and one unreachable address per ReconnectInterval. known are the addresses given by
+// the platform and the settings. A new host has further targets, see bootstrapSyncTargets.
 func (l *List) SyncTargets(now time.Time, known []string) []string {
-	targets := l.youngTargets(now, known)
+	targets := l.bootstrapSyncTargets(now, known)
 	if !now.Before(l.nextSync) {
 		l.nextSync = now.Add(l.conf.SyncInterval)
-		if address, ok := l.comparesWith(); ok {
+		if address, ok := l.pickSyncPeer(); ok {
 			targets = append(targets, address)
 		}
 	}
-	if now.Before(l.nextConnect) {
+	if now.Before(l.nextReconnect) {
 		return targets
 	}
-	l.nextConnect = now.Add(l.connectInterval())
-	absent := l.absent(known)
-	if len(absent) == 0 {
+	l.nextReconnect = now.Add(l.reconnectInterval())
+	unreachable := l.unreachable(known)
+	if len(unreachable) == 0 {
 		return targets
 	}
-	return append(targets, absent[l.rng.IntN(len(absent))])
+	return append(targets, unreachable[l.rng.IntN(len(unreachable))])
 }
 
-// comparesWith draws a live member for a full comparison: most often one of this data centre, because
-// states differ for a moment whenever anything changes, and bytes between data centres are dear.
-func (l *List) comparesWith() (address string, ok bool) {
-	lists := l.rows.sorted(l.conf.Host)
-	among := lists.near
-	if len(among) == 0 || len(lists.far) > 0 && l.rng.IntN(farComparisons) == 0 {
-		among = lists.far
-	}
-	if len(among) == 0 {
+// pickSyncPeer picks a random live member for a full-state comparison, usually one of this data
+// centre: states differ briefly after every change, and traffic between data centres is expensive.
+func (l *List) pickSyncPeer() (address string, ok bool) {
+	view := l.table.currentView(l.conf.Host)
+	candidates := view.local
+	if len(candidates) == 0 || len(view.remote) > 0 && l.rng.IntN(remoteSyncRatio) == 0 {
+		candidates = view.remote
+	}
+	if len(candidates) == 0 {
 		return "", false
 	}
-	return among[l.rng.IntN(len(among))].Address, true
+	return candidates[l.rng.IntN(len(candidates))].Address, true
 }
 
-// youngTargets returns known hosts with which a host that has just started compares its
-// state: several at first, then one at each of youngSyncs. Where many start together, the
-// known ones may start last, and their first answers name few. In large fleets they could
-// not answer all again and again: there a host asks others of its data centre that it
-// has heard of.
-func (l *List) youngTargets(now time.Time, known []string) []string {
-	if l.youngDone == len(youngSyncs) || now.Sub(l.started) < youngSyncs[l.youngDone] {
+// bootstrapSyncTargets returns the known hosts with which a new host compares its state: several
+// at first, then one at each of bootstrapSyncAges. It repeats because, when many hosts start
+// together, the known hosts may start last and their first answers contain few rows. In large
+// fleets the known hosts could not answer all these comparisons, so that a new host then chooses
+// among the members of its data centre that it has learned of.
+func (l *List) bootstrapSyncTargets(now time.Time, known []string) []string {
+	if l.bootstrapSyncs == len(bootstrapSyncAges) || now.Sub(l.started) < bootstrapSyncAges[l.bootstrapSyncs] {
 		return nil
 	}
-	l.youngDone++
-	near := l.rows.sorted(l.conf.Host).near
-	if l.Live() > youngSyncHosts && len(near) > 0 {
-		return []string{near[l.rng.IntN(len(near))].Address}
+	l.bootstrapSyncs++
+	local := l.table.currentView(l.conf.Host).local
+	if l.Live() > bootstrapSyncMaxHosts && len(local) > 0 {
+		return []string{local[l.rng.IntN(len(local))].Address}
 	}
 	targets := slices.Clone(known)
 	l.rng.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
-	if l.youngDone == 1 {
-		l.nextConnect = now.Add(l.connectInterval())
-		return targets[:min(youngSeeds, len(targets))]
+	if l.bootstrapSyncs == 1 {
+		l.nextReconnect = now.Add(l.reconnectInterval())
+		return targets[:min(bootstrapSyncFanout, len(targets))]
 	}
 	return targets[:min(1, len(targets))]
 }
 
-// connectInterval is short while this host is alone.
-func (l *List) connectInterval() time.Duration {
+// reconnectInterval returns the period of reconnection attempts, which is shorter while this host
+// knows no other live host.
+func (l *List) reconnectInterval() time.Duration {
 	if l.Live() > 1 {
 		return l.conf.ReconnectInterval
 	}
 	return min(l.conf.ReconnectInterval, l.conf.ProbeInterval/2)
 }
 
-func (l *List) absent(known []string) []string {
+// unreachable returns the addresses of dead members and the known addresses that belong to no live
+// member.
+func (l *List) unreachable(known []string) []string {
 	live := map[string]bool{l.conf.Address: true}
-	var absent []string
+	var unreachable []string
 	for _, m := range l.Members() {
 		if isLive(m) {
 			live[m.Address] = true
 		} else if m.Liveness == peerpb.Liveness_LIVENESS_DEAD {
-			absent = append(absent, m.Address)
+			unreachable = append(unreachable, m.Address)
 		}
 	}
 	for _, address := range known {
-		if !live[address] && !slices.Contains(absent, address) {
-			absent = append(absent, address)
+		if !live[address] && !slices.Contains(unreachable, address) {
+			unreachable = append(unreachable, address)
 		}
 	}
-	return absent
+	return unreachable
 }
--- a/internal/membership/spread_test.go
+++ b/internal/membership/spread_test.go
@@ -7,15 +7,15 @@
 	"github.com/pearshelf/pearshelf/internal/api/peerpb"
 )
 
-// A change reaches every host by gossip alone, without the full comparison that
-// would repair a miss half a minute later.
+// A change reaches every host by gossip alone, before the periodic full-state comparison
+// (every 30 s) would repair a miss.
 func TestGossipReachesEveryHost(t *testing.T) {
 	for _, n := range []int{8, 40} {
 		missed := 0
 		const rounds = 60
 		for range rounds {
-			m := newMesh(n)
-			m.run(5 * time.Second) // the first rows are through
+			m := newNetwork(n)
+			m.run(5 * time.Second) // initial rows are disseminated
 			m.lists[0].SetLeaving(m.now)
 			m.run(5 * time.Second)
 			for _, l := range m.lists {
@@ -25,7 +25,7 @@
 			}
 		}
 		if missed > 0 {
-			t.Errorf("%d hosts: %d of %d missed a change", n, missed, n*rounds)
+			t.Errorf("%d hosts: %d of %d deliveries of a change missed", n, missed, n*rounds)
 		}
 	}
 }
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -16,15 +16,15 @@
 	Datagram *peerpb.Datagram
 }
 
-// Delegate hears of changes of the list.
+// Delegate is notified of changes to the list.
 type Delegate interface {
-	// MemberChanged is called after a row changed; was is nil for a new row.
-	MemberChanged(now time.Time, m, was *peerpb.Member)
-	// Refuted is called when this host answered a false report of itself.
+	// MemberChanged is called after a row changed; previous is nil for a new row.
+	MemberChanged(now time.Time, m, previous *peerpb.Member)
+	// Refuted is called when this host has refuted a false report about itself.
 	Refuted(now time.Time)
 }
 
-// List is not safe for concurrent use.
+// List is the membership list of one host. It is not safe for concurrent use.
 type List struct {
 	conf     Config
 	delegate Delegate
@@ -32,38 +32,38 @@
 	rng      *rand.Rand
 
 	self      *peerpb.Member
-	rows      rows
+	table     memberTable
 	awareness awareness
 
-	started     time.Time
-	youngDone   int // of youngSyncs
-	sequence    uint64
-	probe       *probe
-	probeOrder  []string
-	relays      map[uint64]relay
-	lastTick    time.Time
-	nextProbe   time.Time
-	nextGossip  time.Time
-	nextSync    time.Time
-	nextConnect time.Time
-	lastHeard   time.Time
-}
-
-// New returns a list that holds this host only. The incarnation is taken from
-// the start time, so that a replaced host overrides its predecessor's rows.
+	started        time.Time
+	bootstrapSyncs int // number of bootstrapSyncAges passed
+	sequence       uint64
+	probe          *probe
+	probeOrder     []string
+	relays         map[uint64]relay
+	lastTick       time.Time
+	nextProbe      time.Time
+	nextGossip     time.Time
+	nextSync       time.Time
+	nextReconnect  time.Time
+	lastContact    time.Time
+}
+
+// New returns a list that contains only this host. The incarnation is derived from the start
+// time, so that a replaced host overrides its predecessor's rows.
 func New(conf Config, delegate Delegate, queue *gossip.Queue, now time.Time) *List {
 	conf.SetDefaults()
 	l := &List{
-		conf:      conf,
-		delegate:  delegate,
-		queue:     queue,
-		rng:       rand.New(rand.NewPCG(conf.Seed, uint64(len(conf.Host)))),
-		rows:      newRows(conf.DataCentre),
-		relays:    make(map[uint64]relay),
-		awareness: awareness{max: conf.AwarenessMax},
-		started:   now,
-		lastTick:  now,
-		lastHeard: now,
+		conf:        conf,
+		delegate:    delegate,
+		queue:       queue,
+		rng:         rand.New(rand.NewPCG(conf.Seed, uint64(len(conf.Host)))),
+		table:       newMemberTable(conf.DataCentre),
+		relays:      make(map[uint64]relay),
+		awareness:   awareness{max: conf.AwarenessMax},
+		started:     now,
+		lastTick:    now,
+		lastContact: now,
 	}
 	l.self = &peerpb.Member{
 		Host:        conf.Host,
@@ -72,21 +72,21 @@
 		Incarnation: uint64(now.UnixMilli()),
 		Capacity:    conf.Capacity,
 	}
-	l.rows.set(&row{}, l.self, now, time.Time{})
+	l.table.set(&row{}, l.self, now, time.Time{})
 	l.queue.AddMember(l.self)
 	return l
 }
 
-// Members returns a row per known host, by name. Neither the list nor rows must be
-// changed.
-func (l *List) Members() []*peerpb.Member { return l.rows.sorted(l.conf.Host).all }
+// Members returns the rows of all known hosts, ordered by name. Callers must not modify the slice
+// or the rows.
+func (l *List) Members() []*peerpb.Member { return l.table.currentView(l.conf.Host).all }
 
-// Digest identifies the state of all rows: equal states have equal digests.
-func (l *List) Digest() uint64 { return l.rows.digest }
+// Digest returns a digest of all rows: equal states have equal digests.
+func (l *List) Digest() uint64 { return l.table.digest }
 
-// Member returns one row or nil.
+// Member returns the row of a host, or nil if it is unknown.
 func (l *List) Member(host string) *peerpb.Member {
-	r, ok := l.rows.byHost[host]
+	r, ok := l.table.byHost[host]
 	if !ok {
 		return nil
 	}
@@ -94,13 +94,13 @@
 }
 
 // Live returns the number of hosts that are alive or suspect.
-func (l *List) Live() int { return l.rows.live }
+func (l *List) Live() int { return l.table.live }
 
-// LastHeard is when another host last sent or answered something.
-func (l *List) LastHeard() time.Time { return l.lastHeard }
+// LastHeard returns when another host last sent a datagram or answered a call.
+func (l *List) LastHeard() time.Time { return l.lastContact }
 
-// Heard notes that another host answered a synchronous call.
-func (l *List) Heard(now time.Time) { l.lastHeard = now }
+// Heard records that another host answered a synchronous call.
+func (l *List) Heard(now time.Time) { l.lastContact = now }
 
 func isLive(m *peerpb.Member) bool {
 	return m.Liveness == peerpb.Liveness_LIVENESS_ALIVE || m.Liveness == peerpb.Liveness_LIVENESS_SUSPECT
@@ -121,33 +121,33 @@
 	next.Incarnation++
 	change(next)
 	l.self = next
-	l.replace(now, l.rows.byHost[l.conf.Host], next, l.queue.AddMember)
+	l.replace(now, l.table.byHost[l.conf.Host], next, l.queue.AddMember)
 }
 
-// replace gives a row, which may be new, its member and passes it on with pass.
-func (l *List) replace(now time.Time, r *row, m *peerpb.Member, pass func(*peerpb.Member)) {
-	was := r.member
-	l.rows.set(r, m, now, l.suspectBy(now, m))
-	pass(m)
-	l.delegate.MemberChanged(now, m, was)
+// replace stores the member of a row, which may be new, and queues the change with enqueue.
+func (l *List) replace(now time.Time, r *row, m *peerpb.Member, enqueue func(*peerpb.Member)) {
+	previous := r.member
+	l.table.set(r, m, now, l.suspicionDeadline(now, m))
+	enqueue(m)
+	l.delegate.MemberChanged(now, m, previous)
 }
 
-// Merge takes the rows of another host with which this one compares its state.
+// Merge merges the rows received in a full-state comparison with another host.
 func (l *List) Merge(now time.Time, members []*peerpb.Member) {
 	for _, m := range members {
-		l.mergeOne(now, m, func(m *peerpb.Member) { l.queue.AddComparedMember(m, l.Live()) })
+		l.mergeMember(now, m, func(m *peerpb.Member) { l.queue.AddSyncedMember(m, l.Live()) })
 	}
 }
 
-// told takes rows from a datagram.
-func (l *List) told(now time.Time, members []*peerpb.Member) {
+// mergeGossip merges the rows of a datagram.
+func (l *List) mergeGossip(now time.Time, members []*peerpb.Member) {
 	for _, m := range members {
-		l.mergeOne(now, m, l.queue.AddMember)
+		l.mergeMember(now, m, l.queue.AddMember)
 	}
 }
 
-// mergeOne takes a row, and passes it on with pass if it is news.
-func (l *List) mergeOne(now time.Time, m *peerpb.Member, pass func(*peerpb.Member)) {
+// mergeMember merges a row, and queues it with enqueue if it changes the list.
+func (l *List) mergeMember(now time.Time, m *peerpb.Member, enqueue func(*peerpb.Member)) {
 	if m.Host == "" || m.Address == "" {
 		return
 	}
@@ -155,51 +155,51 @@
 		l.refute(now, m)
 		return
 	}
-	held, ok := l.rows.byHost[m.Host]
+	current, ok := l.table.byHost[m.Host]
 	switch {
 	case !ok && !isLive(m):
 	case !ok:
-		l.replace(now, &row{}, m, pass)
-	case overrides(m, held.member):
-		l.replace(now, held, m, pass)
-	case sameState(m, held.member):
-		l.queue.MemberKnown(m.Host)
+		l.replace(now, &row{}, m, enqueue)
+	case overrides(m, current.member):
+		l.replace(now, current, m, enqueue)
+	case sameState(m, current.member):
+		l.queue.MemberReceived(m.Host)
 	}
 }
 
-// overrides is SWIM's order: a higher incarnation wins; within one
-// incarnation the worse state wins.
-func overrides(m, held *peerpb.Member) bool {
-	if m.Incarnation != held.Incarnation {
-		return m.Incarnation > held.Incarnation
+// overrides implements the order of SWIM: a higher incarnation wins, and within one incarnation
+// the worse liveness.
+func overrides(m, current *peerpb.Member) bool {
+	if m.Incarnation != current.Incarnation {
+		return m.Incarnation > current.Incarnation
 	}
-	return m.Liveness > held.Liveness
+	return m.Liveness > current.Liveness
 }
 
 func sameState(a, b *peerpb.Member) bool {
 	return a.Incarnation == b.Incarnation && a.Liveness == b.Liveness && a.Leaving == b.Leaving
 }
 
-// refute answers a report that this host is not alive.
+// refute answers a report about this host that contradicts its own state, with a higher incarnation.
 func (l *List) refute(now time.Time, m *peerpb.Member) {
 	if m.Incarnation < l.self.Incarnation || l.self.Liveness == peerpb.Liveness_LIVENESS_LEFT {
 		return
 	}
-	same := m.Liveness == l.self.Liveness && m.Incarnation == l.self.Incarnation
-	if same {
+	unchanged := m.Liveness == l.self.Liveness && m.Incarnation == l.self.Incarnation
+	if unchanged {
 		return
 	}
-	l.awareness.add(1)
+	l.awareness.applyDelta(1)
 	next := proto.CloneOf(l.self)
 	next.Incarnation = m.Incarnation + 1
 	l.self = next
-	l.rows.set(l.rows.byHost[l.conf.Host], next, now, time.Time{})
+	l.table.set(l.table.byHost[l.conf.Host], next, now, time.Time{})
 	l.queue.AddMember(next)
 	l.delegate.Refuted(now)
 }
 
-// mark gives a row a new liveness at its present incarnation.
-func (l *List) mark(now time.Time, r *row, liveness peerpb.Liveness) {
+// setLiveness changes the liveness of a row at its current incarnation.
+func (l *List) setLiveness(now time.Time, r *row, liveness peerpb.Liveness) {
 	next := proto.CloneOf(r.member)
 	next.Liveness = liveness
 	l.replace(now, r, next, l.queue.AddMember)
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -80,7 +80,7 @@
 mutant "requests with little time" internal/policy/patience.go 's/return shortest > 0 \&\& queue/return false \&\& queue/' ./experiment/replay -run LittleTime
 mutant "hosts wait for a reader that lists" internal/system/configsync/configsync.go 's/if s.standIn.hearsReader \&\& now.Sub(s.standIn.heard) <= silentAfter {/if false {/' ./experiment/loops -run LongList
 mutant "readers are heard before their first answer" internal/system/configsync/takeover.go 's/if !s.conf.StandIn || !IsReader(w) {/if !s.conf.StandIn || !IsReader(w) || s.standIn.answered.IsZero() {/' ./internal/system/configsync -run UnansweredReader
-mutant "comparisons stay near" internal/membership/config.go 's/farComparisons = 8$/farComparisons = 1/' ./internal/membership -run ComparisonsStayNear
+mutant "sync prefers the local data centre" internal/membership/config.go 's/remoteSyncRatio = 8$/remoteSyncRatio = 1/' ./internal/membership -run SyncPrefersLocalDataCentre
 mutant "bounded overflow" internal/policy/pick.go 's/	overflowSample = 128$/	overflowSample = 100000/' ./internal/policy -run Overflow
 mutant "late reports" internal/policy/report.go 's/if next.before(p.counts) {/if false {/' ./internal/policy
 mutant "servers stay in use" internal/policy/breadth.go 's/return unusedGain/return 0/' ./internal/policy
@@ -111,7 +111,7 @@
 mutant "suspension" internal/engine/engine.go 's/pause := max(world.Elapsed(e.lastTick, now), now.Sub(e.lastTick)+slept)/pause := world.Elapsed(e.lastTick, now)/' ./internal/engine
 mutant "spent allowance" internal/policy/pick.go 's/return rule.IdempotentFailure + spent\*/return rule.IdempotentFailure + 0*spent*/' ./internal/policy
 mutant "trouble within a second" internal/policy/breadth.go 's/ || svc.manyUnserved(now, windowBuckets\/2)//' ./internal/policy
-mutant "new hosts ask again" internal/membership/probe.go 's/case l.Live() > youngSyncHosts:/case true:/' ./internal/membership
+mutant "new hosts repeat the bootstrap sync" internal/membership/probe.go 's/case l.Live() > youngSyncHosts:/case true:/' ./internal/membership
 mutant "missing documents only" internal/system/configsync/configsync.go 's/if w.Document(key).Revision == 0 {/if true {/' ./internal/system/configsync
 mutant "start grace" internal/system/configsync/configsync.go 's/heard: now.Add(startGrace)/heard: now/' ./internal/system/configsync
 mutant "refusal after an owner broke off" internal/dispatch/forward.go 's/if x.written \&\& Outcome/if false \&\& Outcome/' ./internal/dispatch
@@ -131,9 +131,9 @@
 mutant "time is over" internal/dispatch/exchange.go 's/ \&\& x.broken < maxBroken \&\& ctx.Err() == nil {/ \&\& !isCallerGone(ctx) {/' ./platform -run TimeOver
 mutant "signature" internal/dispatch/judge.go 's/marks.Signature != ""/marks.Signature == "-"/' ./platform -run Idempotent
 mutant "misdirected" internal/dispatch/judge.go 's/x.isMisdirected(answer) || x.d/x.d/' ./platform -run NotRun
-mutant "indirect probes" internal/membership/probe.go 's/if !p.asked \&\& !now.Before(p.indirect) {/if false {/' ./internal/membership
+mutant "indirect probes" internal/membership/probe.go 's/if !p.indirectSent \&\& !now.Before(p.indirectAt) {/if false {/' ./internal/membership
 mutant "stale after a pause" internal/engine/engine.go "s/if pause > e.conf.Freshness {/if false {/" ./internal/engine
-mutant "pause forgiven" internal/membership/probe.go 's/if gap := now.Sub(l.lastTick); gap > pauseFactor\*l.conf.ProbeInterval {/if gap := now.Sub(l.lastTick); gap < 0 {/' ./internal/membership
+mutant "deadlines extended by a pause" internal/membership/probe.go 's/if gap := now.Sub(l.lastTick); gap > pauseProbeIntervals\*l.conf.ProbeInterval {/if gap := now.Sub(l.lastTick); gap < 0 {/' ./internal/membership
 
 mutant "new host is no reader" internal/system/configsync/configsync.go 's/return w.Settled \&\& slices/return slices/' ./e2e -ginkgo.focus "all hosts restart"
 mutant "polls stretch" internal/system/configsync/configsync.go 's/max(hosts, PollHosts)/max(0, PollHosts)/' ./internal/system/configsync
