--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -60,7 +60,7 @@
 mutant "graceful end" internal/daemon/stop.go 's/d.callerServer.Shutdown(ctx), d.peerServer.Shutdown(ctx)/d.callerServer.Close(), d.peerServer.Close()/' ./e2e -ginkgo.focus "in turn under load"
 mutant "witnesses" internal/system/detection/judge.go 's/return live <= 1 || e.witnessed(now)/return true/' ./experiment/detection -run NoFalse
 mutant "peers' score" internal/system/detection/score.go 's/peerFactor = 3/peerFactor = 0/' ./experiment/detection -run NoFalse
-mutant "gossip reaches all" internal/gossip/queue.go "s/extraTransmits = 8/extraTransmits = 0/" ./internal/membership
+mutant "gossip reaches all" internal/gossip/queue.go "s/extraTransmits = 12$/extraTransmits = 0/" ./internal/membership
 mutant "asking ends" internal/claims/coordinator.go "s/time.Now().After(giveUp)/giveUp.IsZero()/" ./internal/claims
 mutant "stand-in for a silent reader" internal/system/configsync/takeover.go 's/silent > silentAfter/silent > time.Hour/' ./internal/system/configsync
 mutant "stand-in for a stale reader" internal/system/configsync/takeover.go 's/stale > due/stale > due+time.Hour/' ./internal/system/configsync
@@ -111,7 +111,7 @@
 mutant "suspension" internal/engine/engine.go 's/pause := max(world.Elapsed(e.lastTick, now), now.Sub(e.lastTick)+slept)/pause := world.Elapsed(e.lastTick, now)/' ./internal/engine
 mutant "spent allowance" internal/policy/pick.go 's/return rule.IdempotentFailure + spent\*/return rule.IdempotentFailure + 0*spent*/' ./internal/policy
 mutant "trouble within a second" internal/policy/breadth.go 's/ || svc.manyUnserved(now, windowBuckets\/2)//' ./internal/policy
-mutant "new hosts repeat the bootstrap sync" internal/membership/probe.go 's/case l.Live() > youngSyncHosts:/case true:/' ./internal/membership
+mutant "new hosts repeat the bootstrap sync" internal/membership/probe.go 's/if l.Live() > bootstrapSyncMaxHosts \&\& /if /' ./internal/membership
 mutant "missing documents only" internal/system/configsync/configsync.go 's/if w.Document(key).Revision == 0 {/if true {/' ./internal/system/configsync
 mutant "start grace" internal/system/configsync/configsync.go 's/heard: now.Add(startGrace)/heard: now/' ./internal/system/configsync
 mutant "refusal after an owner broke off" internal/dispatch/forward.go 's/if x.written \&\& Outcome/if false \&\& Outcome/' ./internal/dispatch
