--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,13 +1,13 @@
-// Package registry holds the backend servers that have registered themselves and brings
-// them up to date by changes, so that the cost of a change follows the change and not the
-// number of servers.
+// Package registry holds the table of self-registered backend servers. The table is
+// replicated by deltas, so that the cost of an update depends on the number of changed
+// servers and not on the size of the table.
 //
-// A change names the revision that it starts from. A table applies it if it holds that
-// revision or a newer one: a change carries whole entries, so applying one twice, or one
-// that overlaps with what is held, gives the same table. Each change carries a digest of the
-// whole list; a table whose digest differs has missed something and must get the whole list.
+// A delta names its base revision. A table applies it if it holds that revision or a newer
+// one. Deltas carry whole entries, so applying one twice, or one that overlaps with the
+// table's state, is idempotent. Each delta carries a digest of the full list; a table whose
+// digest differs has missed an update and must fetch the full list.
 //
-// The package is pure: lists in, lists out.
+// The package performs no I/O and reads no clock.
 package registry
 
 import (
@@ -24,79 +24,79 @@
 )
 
 const (
-	// historyPerServer times the number of servers is how many changes a table remembers: a
-	// restart of every server is three changes each (leaving, gone, joined).
+	// historyPerServer is the number of changes kept in the history per server: a restart of
+	// a server takes three (leaving, removed, joined).
 	historyPerServer = 3
-	// leastHistory is how many changes a table with few servers remembers.
-	leastHistory = 1024
-	// coldAgain is by how much a server must be cold for longer than was known for it to have
-	// become cold again: what it states and when that is read vary by less.
-	coldAgain = time.Second
+	// minHistory is the number of changes kept by a table with few servers.
+	minHistory = 1024
+	// warmupTolerance is the extension of a server's warm-up above which the server counts as
+	// having become cold again: the reported value and the time of reading it vary by less.
+	warmupTolerance = time.Second
 )
 
-// GapError is a change that starts from a revision that the table has not seen.
+// GapError reports a delta whose base revision is newer than the table.
 type GapError struct{ Base, Held uint64 }
 
 // Error implements error.
 func (e GapError) Error() string {
-	return fmt.Sprintf("change starts from revision %d, the list held has revision %d", e.Base, e.Held)
+	return fmt.Sprintf("delta has base revision %d, local list is at revision %d", e.Base, e.Held)
 }
 
-// DigestError is a list that differs from its sender's after a change was applied.
+// DigestError reports that the table differs from the sender's after a delta was applied.
 type DigestError struct{ Revision uint64 }
 
 // Error implements error.
 func (e DigestError) Error() string {
-	return fmt.Sprintf("list at revision %d differs from the sender's", e.Revision)
+	return fmt.Sprintf("digest mismatch: local list at revision %d differs from the sender's", e.Revision)
 }
 
-// Update is what became of one server: it joined (Before is nil), left (After is nil) or
-// changed.
+// Update describes the change of one server: it joined (Before is nil), left (After is nil)
+// or was modified.
 type Update struct {
 	ID     string
 	Before *config.DiscoveredBackend
 	After  *config.DiscoveredBackend
 }
 
-// entry is a server, and until when it is cold by what it last stated.
+// entry is a server and the end of its warm-up as last reported.
 type entry struct {
 	server    *config.DiscoveredBackend
 	coldUntil time.Time
 }
 
-// at returns the server with the warm-up time that is left.
-func (e entry) at(now time.Time) config.DiscoveredBackend {
+// withRemainingWarmup returns the server with the warm-up time that remains at now.
+func (e entry) withRemainingWarmup(now time.Time) config.DiscoveredBackend {
 	server := *e.server
 	server.Warmup = config.Duration(max(e.coldUntil.Sub(now), 0).Round(time.Millisecond))
 	return server
 }
 
-// differs reports whether an entry says something new. The time for which a server is still
-// cold runs down by itself.
+// differs reports whether other differs from the entry. A warm-up that has merely run down is
+// no difference.
 func (e entry) differs(now time.Time, other *config.DiscoveredBackend) bool {
 	same := *other
 	same.Warmup = e.server.Warmup
-	return same != *e.server || now.Add(time.Duration(other.Warmup)).Sub(e.coldUntil) > coldAgain && other.Warmup > 0
+	return same != *e.server || now.Add(time.Duration(other.Warmup)).Sub(e.coldUntil) > warmupTolerance && other.Warmup > 0
 }
 
-// logged is one line of the history.
-type logged struct {
+// historyEntry records that a server changed at a revision.
+type historyEntry struct {
 	revision uint64
 	id       string
 }
 
-// Table is the registered backend servers at one revision. It is not safe for concurrent
+// Table holds the registered backend servers at one revision. It is not safe for concurrent
 // use.
 type Table struct {
 	revision  uint64
 	servers   map[string]entry
 	evacuated []string
 	digest    uint64
-	// graceUntil is until when registrations may be missing although their servers live.
+	// graceUntil is the time until which registrations of live servers may be missing.
 	graceUntil time.Time
-	// history holds every change after complete, oldest first.
-	history  []logged
-	complete uint64
+	// history holds every change after revision completeSince, oldest first.
+	history  []historyEntry
+	completeSince uint64
 }
 
 // New returns an empty table at revision 0.
@@ -104,10 +104,10 @@
 	return &Table{servers: make(map[string]entry)}
 }
 
-// Revision is that of the last list or change applied.
+// Revision returns the revision of the last list or delta applied.
 func (t *Table) Revision() uint64 { return t.revision }
 
-// Len is the number of servers.
+// Len returns the number of servers.
 func (t *Table) Len() int { return len(t.servers) }
 
 // Has reports whether a server is registered.
@@ -116,19 +116,19 @@
 	return ok
 }
 
-// Differs reports whether an entry says something that the table does not hold.
+// Differs reports whether server is missing from the table or differs from its entry.
 func (t *Table) Differs(now time.Time, server *config.DiscoveredBackend) bool {
 	held, ok := t.servers[server.ID]
 	return !ok || held.differs(now, server)
 }
 
-// Evacuated are the data centres whose servers get no requests.
+// Evacuated returns the data centres whose servers get no requests.
 func (t *Table) Evacuated() []string { return t.evacuated }
 
-// Apply brings the table to a revision by a whole list or a change, and returns what became
-// of each server that differs, by ID. It returns a GapError and applies nothing if the change
-// starts from a revision that the table has not seen, and a DigestError with the updates if
-// the result differs from the sender's table.
+// Apply brings the table to a revision with a full list (base revision 0) or a delta, and
+// returns an update for each server that changed, ordered by ID. It returns a GapError and
+// applies nothing if the base revision is newer than the table, and a DigestError along with
+// the updates if the result differs from the sender's table.
 func (t *Table) Apply(now time.Time, revision uint64, list *config.Discovered) ([]Update, error) {
 	if list.Base > t.revision {
 		return nil, GapError{Base: list.Base, Held: t.revision}
@@ -141,12 +141,12 @@
 		updates = t.remove(updates, id)
 	}
 	for i := range list.Backends {
-		updates = t.set(now, updates, &list.Backends[i])
+		updates = t.upsert(now, updates, &list.Backends[i])
 	}
 	t.revision = max(t.revision, revision)
 	t.evacuated = list.Evacuated
 	t.graceUntil = now.Add(time.Duration(list.AbsenceGrace))
-	t.log(list, updates)
+	t.appendHistory(list, updates)
 	slices.SortFunc(updates, func(a, b Update) int { return cmp.Compare(a.ID, b.ID) })
 	if list.Digest != 0 && list.Digest != t.digest {
 		return updates, DigestError{Revision: t.revision}
@@ -154,7 +154,7 @@
 	return updates, nil
 }
 
-// removeUnlisted takes out the servers that a whole list does not name.
+// removeUnlisted removes the servers that are missing from a full list.
 func (t *Table) removeUnlisted(list []config.DiscoveredBackend) []Update {
 	listed := make(map[string]bool, len(list))
 	for i := range list {
@@ -169,8 +169,8 @@
 	return updates
 }
 
-// set replaces a server and adds an update if that makes a difference.
-func (t *Table) set(now time.Time, updates []Update, after *config.DiscoveredBackend) []Update {
+// upsert adds or replaces a server and appends an update if the entry changed.
+func (t *Table) upsert(now time.Time, updates []Update, after *config.DiscoveredBackend) []Update {
 	before, known := t.servers[after.ID]
 	if known && !before.differs(now, after) {
 		return updates
@@ -183,7 +183,7 @@
 	return append(updates, Update{ID: after.ID, Before: before.server, After: after})
 }
 
-// remove takes out a server and adds an update if it was there.
+// remove removes a server and appends an update if it was present.
 func (t *Table) remove(updates []Update, id string) []Update {
 	before, known := t.servers[id]
 	if !known {
@@ -194,50 +194,51 @@
 	return append(updates, Update{ID: id, Before: before.server})
 }
 
-// log adds to the history what a list has changed. Entries that a change names and that were
-// held already are logged too: the sender may pass on to others what this table got earlier
-// under a lower revision.
-func (t *Table) log(list *config.Discovered, updates []Update) {
+// appendHistory records the changes of a list. Entries of a delta that the table held already
+// are recorded too: other hosts may get them under the delta's revision, although this table
+// received them earlier under a lower one.
+func (t *Table) appendHistory(list *config.Discovered, updates []Update) {
 	if list.Base == 0 {
-		if len(t.history) == 0 && t.complete == 0 { // the first list: nothing is known of what came before
-			t.complete = t.revision
+		if len(t.history) == 0 && t.completeSince == 0 { // first list: changes before it are unknown
+			t.completeSince = t.revision
 			return
 		}
 		for _, u := range updates {
-			t.history = append(t.history, logged{t.revision, u.ID})
+			t.history = append(t.history, historyEntry{t.revision, u.ID})
 		}
 	} else {
 		for _, id := range list.Removed {
-			t.history = append(t.history, logged{t.revision, id})
+			t.history = append(t.history, historyEntry{t.revision, id})
 		}
 		for i := range list.Backends {
-			t.history = append(t.history, logged{t.revision, list.Backends[i].ID})
+			t.history = append(t.history, historyEntry{t.revision, list.Backends[i].ID})
 		}
 	}
-	t.trim()
+	t.trimHistory()
 }
 
-// trim forgets the oldest changes, all of one revision together.
-func (t *Table) trim() {
-	most := max(leastHistory, historyPerServer*len(t.servers))
-	if len(t.history) <= 2*most {
+// trimHistory drops the oldest changes once the history is twice its limit. Changes of one
+// revision are dropped together.
+func (t *Table) trimHistory() {
+	limit := max(minHistory, historyPerServer*len(t.servers))
+	if len(t.history) <= 2*limit {
 		return
 	}
-	cut := len(t.history) - most
-	t.complete = t.history[cut-1].revision
-	for cut < len(t.history) && t.history[cut].revision == t.complete {
+	cut := len(t.history) - limit
+	t.completeSince = t.history[cut-1].revision
+	for cut < len(t.history) && t.history[cut].revision == t.completeSince {
 		cut++
 	}
 	t.history = slices.Clone(t.history[cut:])
 }
 
-// Since returns what has changed after a revision, or the whole list if the history does not
-// reach back so far.
+// Since returns the changes after a revision, or the full list if the history does not reach
+// back to it or the delta would name more servers than the table holds.
 func (t *Table) Since(now time.Time, revision uint64) *config.Discovered {
-	if revision == 0 || revision < t.complete {
-		return t.whole(now)
+	if revision == 0 || revision < t.completeSince {
+		return t.fullList(now)
 	}
-	first, _ := slices.BinarySearchFunc(t.history, revision, func(l logged, revision uint64) int {
+	first, _ := slices.BinarySearchFunc(t.history, revision, func(l historyEntry, revision uint64) int {
 		if l.revision <= revision {
 			return -1
 		}
@@ -248,19 +249,19 @@
 		ids[l.id] = true
 	}
 	if len(ids) > len(t.servers) {
-		return t.whole(now)
+		return t.fullList(now)
 	}
-	change := t.list(now, slices.Sorted(maps.Keys(ids)))
+	change := t.listOf(now, slices.Sorted(maps.Keys(ids)))
 	change.Base = revision
 	return change
 }
 
-func (t *Table) whole(now time.Time) *config.Discovered {
-	return t.list(now, slices.Sorted(maps.Keys(t.servers)))
+func (t *Table) fullList(now time.Time) *config.Discovered {
+	return t.listOf(now, slices.Sorted(maps.Keys(t.servers)))
 }
 
-// list names servers as they are now.
-func (t *Table) list(now time.Time, ids []string) *config.Discovered {
+// listOf returns the current entries of the given servers. Unknown IDs are listed as removed.
+func (t *Table) listOf(now time.Time, ids []string) *config.Discovered {
 	list := &config.Discovered{
 		Digest:       t.digest,
 		Evacuated:    t.evacuated,
@@ -269,7 +270,7 @@
 	}
 	for _, id := range ids {
 		if held, known := t.servers[id]; known {
-			list.Backends = append(list.Backends, held.at(now))
+			list.Backends = append(list.Backends, held.withRemainingWarmup(now))
 		} else {
 			list.Removed = append(list.Removed, id)
 		}
@@ -277,12 +278,12 @@
 	return list
 }
 
-// digestOf is a hash of an entry. Warmup is left out: it is a time left, and each list states
-// it as of another moment.
+// digestOf returns a hash of an entry. Warmup is excluded: it is a remaining time, which
+// differs with the moment at which a list is made.
 func digestOf(b *config.DiscoveredBackend) uint64 {
 	raw := make([]byte, 0, 256)
-	for _, text := range []string{b.Service, b.ID, b.Address, b.DataCentre} {
-		raw = append(raw, text...)
+	for _, field := range []string{b.Service, b.ID, b.Address, b.DataCentre} {
+		raw = append(raw, field...)
 		raw = append(raw, 0)
 	}
 	raw = strconv.AppendInt(raw, int64(b.Slots), 10)
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -40,20 +40,20 @@
 	}
 }
 
-func filled(t testing.TB, count int) *registry.Table {
+func newTable(t testing.TB, count int) *registry.Table {
 	t.Helper()
 	table := registry.New()
 	mustApply(t, table, 10, &config.Discovered{Backends: servers(count)})
 	return table
 }
 
-// Hosts that miss changes, get them twice, late or from others end with the source's list, by
-// changes alone.
-func TestHostsFollowByChanges(t *testing.T) {
+// Hosts that miss deltas or receive them twice, late or from other hosts converge on the
+// source's list through deltas alone.
+func TestDeltasConverge(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		source := filled(t, 100)
-		hosts := []*registry.Table{filled(t, 100), filled(t, 100), filled(t, 100)}
+		source := newTable(t, 100)
+		hosts := []*registry.Table{newTable(t, 100), newTable(t, 100), newTable(t, 100)}
 		for revision := uint64(11); revision < 60; revision++ {
 			change := &config.Discovered{Base: source.Revision()}
 			for range 1 + random.IntN(3) {
@@ -80,78 +80,78 @@
 			mustApply(t, host, source.Revision(), source.Since(now, host.Revision()))
 			got, err := json.Marshal(host.Since(now, 0))
 			if err != nil || string(got) != string(want) {
-				t.Fatalf("seed %d: host %d differs, %v", seed, i, err)
+				t.Fatalf("seed %d: list of host %d differs from the source's, %v", seed, i, err)
 			}
 		}
 	}
 }
 
-// A change that starts from a revision which the host has not seen is told and changes nothing.
-func TestGapIsTold(t *testing.T) {
-	table := filled(t, 3)
+// A delta whose base revision is newer than the table is rejected and changes nothing.
+func TestGapIsReported(t *testing.T) {
+	table := newTable(t, 3)
 	_, err := table.Apply(now, 20, &config.Discovered{Base: 15, Removed: []string{server(0).ID}})
 	var gap registry.GapError
 	if !errors.As(err, &gap) || table.Len() != 3 || table.Revision() != 10 {
-		t.Errorf("%v, %d servers at revision %d", err, table.Len(), table.Revision())
+		t.Errorf("got error %v and %d servers at revision %d, want a GapError and 3 servers at revision 10", err, table.Len(), table.Revision())
 	}
 }
 
-// A host whose list differs from the sender's notices it with the next change.
-func TestDifferenceIsTold(t *testing.T) {
-	source, host := filled(t, 5), filled(t, 4)
+// A host whose list differs from the sender's detects it with the next delta.
+func TestDigestMismatchIsReported(t *testing.T) {
+	source, host := newTable(t, 5), newTable(t, 4)
 	mustApply(t, source, 11, &config.Discovered{Base: 10, Removed: []string{server(1).ID}})
 	_, err := host.Apply(now, 11, source.Since(now, 10))
-	var differs registry.DigestError
-	if !errors.As(err, &differs) {
-		t.Fatalf("%v", err)
+	var mismatch registry.DigestError
+	if !errors.As(err, &mismatch) {
+		t.Fatalf("got error %v, want a DigestError", err)
 	}
 	mustApply(t, host, 11, source.Since(now, 0))
 	if host.Len() != source.Len() {
-		t.Errorf("%d servers after the whole list, want %d", host.Len(), source.Len())
+		t.Errorf("%d servers after the full list, want %d", host.Len(), source.Len())
 	}
 }
 
-// A host that was away for longer than the history gets the whole list.
-func TestLongAbsenceGetsTheWholeList(t *testing.T) {
-	source := filled(t, 10)
+// A host whose revision is older than the history gets the full list.
+func TestRevisionBeforeHistoryGetsFullList(t *testing.T) {
+	source := newTable(t, 10)
 	for revision := uint64(11); revision < 6000; revision++ {
 		one := server(int(revision) % 10)
 		one.Started = int64(revision)
 		mustApply(t, source, revision, &config.Discovered{Base: revision - 1, Backends: []config.DiscoveredBackend{one}})
 	}
 	if list := source.Since(now, 10); list.Base != 0 || len(list.Backends) != 10 {
-		t.Errorf("change from %d with %d servers, want the whole list", list.Base, len(list.Backends))
+		t.Errorf("delta from revision %d with %d servers, want the full list", list.Base, len(list.Backends))
 	}
 	if list := source.Since(now, 5990); list.Base != 5990 {
-		t.Errorf("whole list for a host that lacks nine changes")
+		t.Errorf("full list for a host that lacks nine changes, want a delta")
 	}
 }
 
-// The time for which a server is still cold runs down where the list is passed on, and a server
-// that becomes cold again changes.
-func TestColdTimeRunsDown(t *testing.T) {
+// The remaining warm-up of a server runs down before the list is passed on, and a server that
+// becomes cold again counts as changed.
+func TestWarmupRunsDown(t *testing.T) {
 	table := registry.New()
 	cold := server(1)
 	cold.Warmup = config.Duration(3 * time.Second)
 	mustApply(t, table, 5, &config.Discovered{Backends: []config.DiscoveredBackend{cold}})
 	later := now.Add(2 * time.Second)
 	if left := time.Duration(table.Since(later, 0).Backends[0].Warmup); left != time.Second {
-		t.Errorf("%s left 2 s later", left)
+		t.Errorf("%s of warm-up left after 2 s, want 1s", left)
 	}
 	if left := time.Duration(table.Since(later.Add(time.Minute), 0).Backends[0].Warmup); left != 0 {
-		t.Errorf("%s left a minute later", left)
+		t.Errorf("%s of warm-up left a minute later, want none", left)
 	}
 	running := cold
 	running.Warmup = config.Duration(time.Second)
 	if table.Differs(later, &running) || !table.Differs(later, &cold) {
-		t.Error("a time that runs down counts as a change, or a server that is cold again does not")
+		t.Error("a warm-up that runs down counts as a change, or a server that became cold again does not")
 	}
 }
 
-// A change of one server costs the same bytes among 60 servers and among 6,000.
-func TestBytesOfAChangeDoNotGrowWithTheList(t *testing.T) {
+// The delta for one changed server has the same size among 60 servers and among 6,000.
+func TestDeltaBytesAreIndependentOfListSize(t *testing.T) {
 	size := func(count int) int {
-		table := filled(t, count)
+		table := newTable(t, count)
 		one := server(7)
 		one.Leaving = true
 		mustApply(t, table, 11, &config.Discovered{Base: 10, Backends: []config.DiscoveredBackend{one}})
@@ -163,15 +163,15 @@
 	}
 	few, many := size(60), size(6000)
 	if many > few*3/2 {
-		t.Errorf("%d bytes among 6,000 servers, %d among 60", many, few)
+		t.Errorf("delta has %d bytes among 6,000 servers, %d among 60", many, few)
 	}
 }
 
-// BenchmarkChange is one server's change, applied and passed on.
-func BenchmarkChange(b *testing.B) {
+// BenchmarkDelta applies a delta of one server and produces one for the next host.
+func BenchmarkDelta(b *testing.B) {
 	for _, count := range []int{600, 6000, 14000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			table := filled(b, count)
+			table := newTable(b, count)
 			b.ReportAllocs()
 			revision := table.Revision()
 			for b.Loop() {
@@ -179,7 +179,7 @@
 				one.Started = int64(revision)
 				mustApply(b, table, revision+1, &config.Discovered{Base: revision, Backends: []config.DiscoveredBackend{one}})
 				if list := table.Since(now, revision); len(list.Backends) != 1 {
-					b.Fatal("not one change")
+					b.Fatal("delta does not name exactly one server")
 				}
 				revision++
 			}
--- a/internal/system/placement/placement.go
+++ b/internal/system/placement/placement.go
@@ -1,6 +1,6 @@
-// Package placement computes, from the live hosts, which hosts own and watch
-// each service and which read the platform. Hosts with the same list compute
-// the same placement; nothing is negotiated.
+// Package placement assigns the owners and watchers of each service and the
+// platform readers among the live hosts. The assignment is deterministic: hosts
+// with the same host list compute the same placement without coordination.
 package placement
 
 import (
@@ -14,36 +14,38 @@
 )
 
 const (
-	// SlotsPerOwner adds an active owner for each so many slots of a service.
-	// Few owners hold large shares of the slots, which serve a queue better.
+	// SlotsPerOwner is the number of slots of a service per active owner. With
+	// few owners each holds a large share of the slots, which is more efficient
+	// for queueing.
 	SlotsPerOwner = 64
-	// StandbyOwners stand behind the active ones in each data centre: one may
-	// fail or freeze.
+	// StandbyOwners is the number of standby owners per data centre, in case an
+	// active owner fails or freezes.
 	StandbyOwners = 1
-	// WatchersPerService must be odd, so that a majority is clear.
+	// WatchersPerService must be odd, so that votes cannot tie.
 	WatchersPerService = 3
 )
 
-// System is the placement step.
+// System is the placement step of a tick.
 type System struct{}
 
-// Run recomputes the placement after a change of hosts or services.
+// Run recomputes the placement if the hosts or services have changed.
 func (System) Run(w *world.World, _ time.Time) {
 	if !w.HostsChanged && !w.ServicesChanged {
 		return
 	}
-	nodes := eligible(w)
+	nodes := eligibleNodes(w)
 	w.ReaderOrder = ReaderOrder(nodes[w.Self.DataCentre], func(host string) uint32 { return w.Hosts[host].Capacity })
 	w.Readers = w.ReaderOrder[:min(w.ActiveReaders, len(w.ReaderOrder))]
 	for _, svc := range w.Services {
-		place(svc, nodes)
+		placeService(svc, nodes)
 	}
 	w.HostsChanged = false
 }
 
-// ReaderOrder returns the hosts of a data centre, those that are to read the platform first:
-// each server's heartbeat comes to a reader, which takes a good part of a small host. Hosts of
-// about one capacity are in an order of their own.
+// ReaderOrder returns the hosts of a data centre in order of preference as platform readers,
+// hosts with a larger capacity first: a reader receives the heartbeats of all backend servers,
+// which takes a considerable part of a small host. Hosts of similar capacity are ordered by
+// rendezvous hashing.
 func ReaderOrder(hosts []rendezvous.Node, capacity func(host string) uint32) []string {
 	order := rendezvous.Top("platform-reader", hosts, len(hosts))
 	slices.SortStableFunc(order, func(a, b string) int {
@@ -52,10 +54,11 @@
 	return order
 }
 
-// magnitude is the binary order of magnitude: capacities within a factor of two count alike.
+// magnitude returns the binary order of magnitude, which groups capacities that differ by less
+// than a factor of two.
 func magnitude(capacity uint32) int { return bits.Len32(capacity) }
 
-func eligible(w *world.World) map[string][]rendezvous.Node {
+func eligibleNodes(w *world.World) map[string][]rendezvous.Node {
 	nodes := make(map[string][]rendezvous.Node)
 	for _, name := range w.HostNames() {
 		h := w.Hosts[name]
@@ -66,12 +69,12 @@
 	return nodes
 }
 
-func place(svc *world.Service, nodes map[string][]rendezvous.Node) {
+func placeService(svc *world.Service, nodes map[string][]rendezvous.Node) {
 	active := 1 + svc.Config.TotalSlots()/SlotsPerOwner
 	owners := make(map[string][]string, len(nodes))
 	var candidates, standby []rendezvous.Node
-	for dataCentre, inCentre := range nodes {
-		owners[dataCentre] = rendezvous.Top("owner/"+svc.Config.Name, inCentre, active+StandbyOwners)
+	for dataCentre, centreNodes := range nodes {
+		owners[dataCentre] = rendezvous.Top("owner/"+svc.Config.Name, centreNodes, active+StandbyOwners)
 		for i, host := range owners[dataCentre] {
 			node := rendezvous.NewNode(host, dataCentre)
 			if i < active {
@@ -105,5 +108,4 @@
 	return true
 }
 
-// Interface guard.
 var _ world.System = System{}
--- a/internal/system/placement/placement_test.go
+++ b/internal/system/placement/placement_test.go
@@ -9,9 +9,9 @@
 	"github.com/pearshelf/pearshelf/internal/system/placement"
 )
 
-// Hosts that can bear more read the platform first; the others stand in for them, in an order that
-// does not depend on small differences.
-func TestLargeHostsRead(t *testing.T) {
+// Hosts with a larger capacity are preferred as readers. The order of the others, which replace
+// them on failure, does not depend on small differences in capacity.
+func TestLargeHostsArePreferredAsReaders(t *testing.T) {
 	var hosts []rendezvous.Node
 	capacity := make(map[string]uint32)
 	for n := range 30 {
@@ -23,13 +23,13 @@
 	order := placement.ReaderOrder(hosts, func(host string) uint32 { return capacity[host] })
 	first := slices.Sorted(slices.Values(order[:2]))
 	if !slices.Equal(first, []string{"h17", "h3"}) {
-		t.Errorf("%v read first, want the large hosts", first)
+		t.Errorf("first readers are %v, want the large hosts", first)
 	}
 	clear(capacity)
-	alike := slices.DeleteFunc(placement.ReaderOrder(hosts, func(host string) uint32 { return capacity[host] }), func(host string) bool {
+	similar := slices.DeleteFunc(placement.ReaderOrder(hosts, func(host string) uint32 { return capacity[host] }), func(host string) bool {
 		return slices.Contains(first, host)
 	})
-	if !slices.Equal(alike, order[2:]) {
-		t.Errorf("hosts of about one capacity: %v, want %v", order[2:], alike)
+	if !slices.Equal(similar, order[2:]) {
+		t.Errorf("order of hosts of similar capacity: %v, want %v", order[2:], similar)
 	}
 }
--- a/internal/wakeup/wakeup.go
+++ b/internal/wakeup/wakeup.go
@@ -1,21 +1,21 @@
-// Package wakeup keeps when a table that goes by time must be looked at next.
+// Package wakeup tracks the earliest time at which time-dependent state must be processed again.
 package wakeup
 
 import "time"
 
-// Next is the earliest of the times that were added since its last Reset; the zero value has
-// none. It is not safe for concurrent use.
+// Next is the earliest time added since the last Reset. The zero value holds no time. It is
+// not safe for concurrent use.
 type Next struct{ at time.Time }
 
-// Add makes it a time, or leaves an earlier one. The zero time stands for none.
+// Add lowers the wake-up time to at unless an earlier one is set. A zero time is ignored.
 func (n *Next) Add(at time.Time) {
 	if !at.IsZero() && (n.at.IsZero() || at.Before(n.at)) {
 		n.at = at
 	}
 }
 
-// Time returns it, zero for none.
+// Time returns the earliest time, or the zero time if none is set.
 func (n *Next) Time() time.Time { return n.at }
 
-// Reset forgets all times.
+// Reset clears the wake-up time.
 func (n *Next) Reset() { n.at = time.Time{} }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -68,12 +68,12 @@
 mutant "a change that does not fit" internal/registry/registry.go 's/if list.Base > t.revision {/if false {/' ./internal/registry
 mutant "a digest that differs" internal/registry/registry.go 's/list.Digest != 0 \&\& list.Digest != t.digest/false/' ./internal/registry
 mutant "the whole list is asked for" internal/system/configsync/discovered.go 's/	doc.Incomplete = true$//' ./internal/engine -run WholeList
-mutant "changes in place of lists" internal/registry/registry.go 's/if revision == 0 || revision < t.complete {/if true {/' ./internal/registry -run Bytes
+mutant "changes in place of lists" internal/registry/registry.go 's/if revision == 0 || revision < t.completeSince {/if true {/' ./internal/registry -run Bytes
 mutant "evacuation" internal/system/rotation/rotation.go 's/slices.Contains(p.w.Evacuated, b.Config.DataCentre)/false/' ./internal/engine -run Evacuated
 mutant "home regions" internal/region/region.go 's/known \&\& slices.Contains(h.regions, region)/known \&\& region != ""/' ./platform -run Homes
 mutant "homes of route and customer" internal/frontend/customer.go 's/^		req.Homes = req.Homes.And(holder.Homes)$//' ./platform -run Homes
 mutant "cold servers" internal/engine/serviceview.go 's/if svc.Config.ColdPerSecond <= 0 {/if true {/' ./platform -run ColdServer
-mutant "cold again" internal/registry/registry.go 's/ || now.Add(time.Duration(other.Warmup)).Sub(e.coldUntil) > coldAgain \&\& other.Warmup > 0//' ./platform -run ColdAgain
+mutant "cold again" internal/registry/registry.go 's/ || now.Add(time.Duration(other.Warmup)).Sub(e.coldUntil) > warmupTolerance \&\& other.Warmup > 0//' ./platform -run ColdAgain
 mutant "breadth where requests are enough" internal/policy/breadth.go 's/ \&\& svc.effortFor(now, wanted) <= need.effort//' ./internal/policy -run RequestsEnough
 mutant "servers that join" internal/policy/breadth.go 's/func (s \*server) isUntried() bool { return .* }/func (s *server) isUntried() bool { return false }/' ./internal/policy -run Joins
 mutant "servers that are met are not new" internal/policy/table.go 's/return !view.JoinedAt.IsZero() \&\& now.Sub(view.JoinedAt) < newFor/return true/' ./internal/policy -run NewServersAreTrusted
