--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -95,7 +95,7 @@
 	// graceUntil is the time until which registrations of live servers may be missing.
 	graceUntil time.Time
 	// history holds every change after revision completeSince, oldest first.
-	history  []historyEntry
+	history       []historyEntry
 	completeSince uint64
 }
 
--- a/internal/system/detection/detection.go
+++ b/internal/system/detection/detection.go
@@ -1,8 +1,9 @@
-// Package detection judges backend servers from the outcomes of requests that
-// all hosts see. Owners report to the watchers of a service by exception; each
-// watcher runs a cumulative sum test per server, relative to its peers, and
-// votes; a majority of votes ejects (package verdict). Without votes a host
-// only prefers other servers, which costs no capacity.
+// Package detection detects faulty backend servers from the outcomes of
+// requests on all hosts. Owners report to the watchers of a service by
+// exception. Each watcher runs a cumulative sum test per server, relative to
+// the other servers of the service, and votes; a majority of votes ejects a
+// server (package verdict). Without a majority a host only prefers other
+// servers, which costs no capacity.
 package detection
 
 import (
@@ -23,54 +24,63 @@
 
 // Timing.
 const (
-	// HoldOff is the least time out of rotation; each relapse doubles it.
-	HoldOff    = 5 * time.Second
+	// MinHoldOff is the minimum time out of rotation. Each relapse doubles it, up
+	// to MaxHoldOff.
+	MinHoldOff = 5 * time.Second
 	MaxHoldOff = 5 * time.Minute
-	// RelapseWindow is how soon after a return an ejection is a relapse.
+	// RelapseWindow is the time after a return within which another ejection
+	// counts as a relapse.
 	RelapseWindow = 10 * time.Minute
-	// SuspectProbeEvery and ReturnProbeEvery are one watcher's probe periods.
-	SuspectProbeEvery = 250 * time.Millisecond
-	ReturnProbeEvery  = 500 * time.Millisecond
-	// ProbesToReturn good probes in a row end a vote.
-	ProbesToReturn = 3
-	// ProbeTimeout bounds a probe where the usual latency is unknown.
+	// SuspectProbeInterval and RecoveryProbeInterval are the intervals at which
+	// one watcher probes suspect and ejected servers.
+	SuspectProbeInterval  = 250 * time.Millisecond
+	RecoveryProbeInterval = 500 * time.Millisecond
+	// ProbesToRecover is the number of consecutive successful probes that end a
+	// vote.
+	ProbesToRecover = 3
+	// ProbeTimeout limits a probe while the typical latency is unknown.
 	ProbeTimeout = 1 * time.Second
-	// witnessWindow is how long a host counts as having seen a server fail.
-	witnessWindow = 10 * time.Second
-	// quietAfter ends the work on a service without evidence.
-	quietAfter = 30 * time.Second
-	// trafficWindow is how recent traffic must be to judge this host itself.
+	// corroborationWindow is the time for which a host's observed failure of a
+	// server counts.
+	corroborationWindow = 10 * time.Second
+	// idleAfter is the time without new evidence after which a service is no
+	// longer evaluated.
+	idleAfter = 30 * time.Second
+	// trafficWindow limits the check of this host's own network to servers with
+	// recent traffic.
 	trafficWindow = 5 * time.Second
 )
 
-// Shares that make a host doubt its own network.
+// Thresholds for reports and for faults of a host's own network.
 const (
-	// reportScore is the score from which every outcome is reported.
-	reportScore = 2.0
+	// reportAllScore is the score from which all outcomes are reported.
+	reportAllScore = 2.0
 
+	// A host distrusts its own network if at least distrustMin servers have recent
+	// traffic and a share of distrustShare or more of them fails.
 	distrustShare = 0.8
 	distrustMin   = 3
-	// witnessScore is the least score without any one host: one alone may have
-	// a broken path.
-	witnessScore = 7.0
+	// corroborationScore is the score that must be reached with the observations of
+	// any single host excluded, since the path from one host may be broken.
+	corroborationScore = 7.0
 )
 
 type serverKey struct{ service, backend string }
 
-// System is the detection step.
+// System is the detection step of a tick.
 type System struct {
-	records map[serverKey]*evidence
-	usual   map[string]usualShares
+	records   map[serverKey]*evidence
+	baselines map[string]baselineRates
 }
 
-// usualShares are the medians over a service's servers.
-type usualShares struct{ fail, slow float64 }
+// baselineRates are the median rates of failed and slow answers over the servers of a service.
+type baselineRates struct{ fail, slow float64 }
 
 // New returns a system without evidence.
 func New() *System {
 	return &System{
-		records: make(map[serverKey]*evidence),
-		usual:   make(map[string]usualShares),
+		records:   make(map[serverKey]*evidence),
+		baselines: make(map[string]baselineRates),
 	}
 }
 
@@ -84,7 +94,7 @@
 	return e
 }
 
-// Observe takes outcomes of this host's own requests and probes.
+// Observe records outcomes of this host's own requests and probes.
 func (s *System) Observe(w *world.World, now time.Time, batch []*peerpb.Observation) {
 	for _, o := range batch {
 		svc, ok := w.Services[o.Service]
@@ -104,14 +114,14 @@
 	e.lastSeen = now
 	switch o.Kind {
 	case peerpb.Observation_KIND_GOOD:
-		s.good(now, svc, b, e, o)
+		s.observeSuccess(now, svc, b, e, o)
 	case peerpb.Observation_KIND_FAILED:
-		e.own.Failed++
-		bad(now, svc, e)
+		e.ownPending.Failed++
+		noteFailure(now, svc, e)
 	case peerpb.Observation_KIND_UNREACHABLE:
 		b.Detection.Unreachable++
-		e.own.Unreachable++
-		bad(now, svc, e)
+		e.ownPending.Unreachable++
+		noteFailure(now, svc, e)
 	case peerpb.Observation_KIND_PROBE_GOOD:
 		s.probeGood(w, now, svc, b, e, o)
 	case peerpb.Observation_KIND_PROBE_FAILED:
@@ -119,7 +129,7 @@
 	}
 }
 
-func (s *System) good(now time.Time, svc *world.Service, b *world.BackendServer, e *evidence, o *peerpb.Observation) {
+func (s *System) observeSuccess(now time.Time, svc *world.Service, b *world.BackendServer, e *evidence, o *peerpb.Observation) {
 	b.Detection.Unreachable = 0
 	latency := latencyOf(o)
 	isSlow := e.countGood(svc, latency)
@@ -139,12 +149,12 @@
 	return time.Duration(o.FirstByteUs) * time.Microsecond
 }
 
-func bad(now time.Time, svc *world.Service, e *evidence) {
+func noteFailure(now time.Time, svc *world.Service, e *evidence) {
 	e.lastBad = now
 	svc.Busy = true
 }
 
-// Report takes the evidence of another host.
+// Report records the evidence reported by another host.
 func (s *System) Report(w *world.World, now time.Time, report *peerpb.Evidence) {
 	svc, ok := w.Services[report.Service]
 	if !ok || report.Host == w.Self.Host {
@@ -157,7 +167,7 @@
 		}
 		e := s.record(report.Service, be.Backend)
 		seen := counts{Good: be.Good, Failed: be.Failed, Slow: be.Slow, Unreachable: be.Unreachable}
-		e.weigh(now, report.Host, s.usualOf(report.Service), seen)
+		e.addCounts(now, report.Host, s.baselineOf(report.Service), seen)
 		if seen.bad()+seen.Slow > 0 {
 			e.lastBad = now
 		}
@@ -165,58 +175,58 @@
 	}
 }
 
-func (s *System) usualOf(service string) usualShares {
-	usual, ok := s.usual[service]
+func (s *System) baselineOf(service string) baselineRates {
+	baseline, ok := s.baselines[service]
 	if !ok {
-		usual.slow = initialSlowRate
+		baseline.slow = initialSlowRate
 	}
-	return usual
+	return baseline
 }
 
-// Run judges every service that has evidence.
+// Run evaluates every service with recent evidence.
 func (s *System) Run(w *world.World, now time.Time) {
-	s.judgeSelf(w, now)
+	s.checkOwnNetwork(w, now)
 	for _, name := range w.ServiceNames() {
 		svc := w.Services[name]
 		if svc.Busy {
-			s.judgeService(w, now, svc)
+			s.evaluateService(w, now, svc)
 		}
 	}
 }
 
-func (s *System) judgeService(w *world.World, now time.Time, svc *world.Service) {
+func (s *System) evaluateService(w *world.World, now time.Time, svc *world.Service) {
 	s.flush(w, now, svc)
-	scores := s.relate(svc)
+	scores := s.updateBaseline(svc)
 	busy := false
 	for _, b := range svc.Backends {
 		e := s.record(svc.Config.Name, b.Config.ID)
-		s.judge(w, now, svc, b, e, scores)
-		busy = busy || s.isBusy(now, b, e)
+		s.evaluateBackend(w, now, svc, b, e, scores)
+		busy = busy || s.needsEvaluation(now, b, e)
 	}
 	svc.Busy = busy
 }
 
-func (s *System) isBusy(now time.Time, b *world.BackendServer, e *evidence) bool {
+func (s *System) needsEvaluation(now time.Time, b *world.BackendServer, e *evidence) bool {
 	if b.State != world.BackendHealthy || b.Detection.Voted {
 		return true
 	}
-	return e.score() > 0 && now.Sub(e.lastBad) < quietAfter
+	return e.score() > 0 && now.Sub(e.lastBad) < idleAfter
 }
 
-// flush applies this host's own counts to its tests and reports them to the
-// watchers where they matter: at every failure, and while a score is up. A slow
-// answer now and then is usual and not reported.
+// flush adds this host's pending counts to its tests and reports them to the
+// watchers after a failure or while a score is elevated. Occasional slow
+// answers are normal and are not reported.
 func (s *System) flush(w *world.World, now time.Time, svc *world.Service) {
 	report := &peerpb.Evidence{Host: w.Self.Host, Service: svc.Config.Name}
 	for _, b := range svc.Backends {
 		e := s.record(svc.Config.Name, b.Config.ID)
-		own := e.own
-		e.own = counts{}
+		own := e.ownPending
+		e.ownPending = counts{}
 		if own == (counts{}) {
 			continue
 		}
-		e.weigh(now, ownHost, s.usualOf(svc.Config.Name), own)
-		if unreported, due := e.report(own); due {
+		e.addCounts(now, ownHost, s.baselineOf(svc.Config.Name), own)
+		if unreported, due := e.takeReport(own); due {
 			report.Backends = append(report.Backends, unreported.message(b.Config.ID))
 		}
 	}
@@ -236,7 +246,7 @@
 	w.Out.Evidence = append(w.Out.Evidence, world.Evidence{To: others, Evidence: report})
 }
 
-// Forget drops the evidence of backend servers that are gone.
+// Forget drops the evidence of backend servers that no longer exist.
 func (s *System) Forget(w *world.World) {
 	for key := range s.records {
 		svc, ok := w.Services[key.service]
@@ -246,5 +256,4 @@
 	}
 }
 
-// Interface guard.
 var _ world.System = (*System)(nil)
--- a/internal/system/detection/evidence.go
+++ b/internal/system/detection/evidence.go
@@ -7,7 +7,7 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// counts are outcomes that were not weighed yet.
+// counts are numbers of outcomes that have not been added to the tests yet.
 type counts struct{ Good, Failed, Slow, Unreachable uint32 }
 
 func (c counts) bad() uint32 { return c.Failed + c.Unreachable }
@@ -31,77 +31,81 @@
 	}
 }
 
-// tests are the two sequential tests of a server: a server that fails often
-// may be quick, and a slow one may never fail, so they stand apart.
+// tests are the sequential tests of a server for failures and for slowness. They
+// are separate because a failing server may be fast, and a slow one may never fail.
 type tests struct {
 	fail cusum
 	slow cusum
-	// at is when a host was last seen failing, in tests that leave it out.
-	at time.Time
+	// lastFailure is set in tests that exclude a host: the time at which that host
+	// last reported a bad answer.
+	lastFailure time.Time
 }
 
-func (t *tests) add(usual usualShares, seen counts) {
+func (t *tests) add(baseline baselineRates, seen counts) {
 	slow := min(seen.Slow, seen.Good)
-	t.fail.add(failRatios(usual.fail), seen.bad(), seen.Good)
-	t.slow.add(slowRatios(usual.slow), slow, seen.Good-slow)
+	t.fail.add(failRatios(baseline.fail), seen.bad(), seen.Good)
+	t.slow.add(slowRatios(baseline.slow), slow, seen.Good-slow)
 }
 
 func (t *tests) score() float64 { return max(float64(t.fail), float64(t.slow)) }
 
-// ownHost stands for this host among the hosts that saw a server.
+// ownHost is the key of this host's own observations.
 const ownHost = ""
 
 // evidence is this host's record of one backend server.
 type evidence struct {
-	// pooled are the tests over all hosts' observations, alone over this host's.
-	pooled tests
-	alone  tests
-	// without are the tests over all but one host, for each host that lately saw
-	// the server fail: they tell a broken path from a broken server.
-	without map[string]*tests
-	// failShare and slowShare are the server's shares of bad answers.
-	failShare share
-	slowShare share
-	// own counts what this host saw and did not weigh yet, unreported what it
-	// weighed and did not report yet.
-	own        counts
+	// pooled are the tests over the observations of all hosts, ownTests over those
+	// of this host only.
+	pooled   tests
+	ownTests tests
+	// excluding holds, for each host that recently saw the server fail, the tests
+	// over the observations of all other hosts. They distinguish a broken path from
+	// a faulty server.
+	excluding map[string]*tests
+	// failRate and slowRate are the server's rates of failed and slow answers.
+	failRate rate
+	slowRate rate
+	// ownPending counts outcomes on this host that have not been added to the tests
+	// yet, unreported those that were added but not reported.
+	ownPending counts
 	unreported counts
 	lastBad    time.Time
 	lastSeen   time.Time
 }
 
 func newEvidence() *evidence {
-	return &evidence{slowShare: initialSlowRate, without: make(map[string]*tests)}
+	return &evidence{slowRate: initialSlowRate, excluding: make(map[string]*tests)}
 }
 
 func (e *evidence) score() float64 { return e.pooled.score() }
 
-// ownFail is the failure score of this host's observations alone.
-func (e *evidence) ownFail() float64 { return float64(e.alone.fail) }
+// ownFailScore returns the failure score over this host's observations only.
+func (e *evidence) ownFailScore() float64 { return float64(e.ownTests.fail) }
 
-// weigh takes what one host saw.
-func (e *evidence) weigh(now time.Time, host string, usual usualShares, seen counts) {
+// addCounts adds the outcomes seen by one host.
+func (e *evidence) addCounts(now time.Time, host string, baseline baselineRates, seen counts) {
 	if seen.bad()+seen.Slow > 0 {
-		e.leaveOut(now, host)
+		e.excludeHost(now, host)
 	}
-	for other, tests := range e.without {
+	for other, tests := range e.excluding {
 		if other != host {
-			tests.add(usual, seen)
+			tests.add(baseline, seen)
 		}
 	}
 	if host == ownHost {
-		e.alone.add(usual, seen)
+		e.ownTests.add(baseline, seen)
 	}
-	e.pooled.add(usual, seen)
-	e.failShare.add(seen.bad(), seen.bad()+seen.Good)
-	e.slowShare.add(min(seen.Slow, seen.Good), seen.Good)
+	e.pooled.add(baseline, seen)
+	e.failRate.add(seen.bad(), seen.bad()+seen.Good)
+	e.slowRate.add(min(seen.Slow, seen.Good), seen.Good)
 }
 
-// report adds to what is unreported and returns it once it is due. What came
-// before the score was last zero has no weight any more and is dropped.
-func (e *evidence) report(own counts) (unreported counts, due bool) {
+// takeReport adds counts to the unreported ones and returns these once a report
+// is due. Counts from before the score was last zero no longer affect it and are
+// dropped.
+func (e *evidence) takeReport(own counts) (unreported counts, due bool) {
 	e.unreported = e.unreported.plus(own)
-	due = own.bad() > 0 || e.score() >= reportScore
+	due = own.bad() > 0 || e.score() >= reportAllScore
 	unreported = e.unreported
 	if due || e.score() == 0 {
 		e.unreported = counts{}
@@ -109,40 +113,40 @@
 	return unreported, due
 }
 
-// leaveOut keeps tests without a host that saw the server fail. They start from
-// the pooled ones: what came before was not that host's.
-func (e *evidence) leaveOut(now time.Time, host string) {
-	t, ok := e.without[host]
+// excludeHost maintains tests that exclude a host which saw the server fail. They
+// start as a copy of the pooled tests, which contain no recent failure of that host.
+func (e *evidence) excludeHost(now time.Time, host string) {
+	t, ok := e.excluding[host]
 	if !ok {
 		start := e.pooled
 		t = &start
-		e.without[host] = t
+		e.excluding[host] = t
 	}
-	t.at = now
+	t.lastFailure = now
 }
 
-// witnessed reports whether the server would look faulty without any one of
-// the hosts that saw it fail.
-func (e *evidence) witnessed(now time.Time) bool {
-	for host, t := range e.without {
-		if now.Sub(t.at) > witnessWindow {
-			delete(e.without, host)
+// corroborated reports whether the server still appears faulty when any single
+// host that saw it fail is excluded.
+func (e *evidence) corroborated(now time.Time) bool {
+	for host, t := range e.excluding {
+		if now.Sub(t.lastFailure) > corroborationWindow {
+			delete(e.excluding, host)
 			continue
 		}
-		if t.score() < witnessScore {
+		if t.score() < corroborationScore {
 			return false
 		}
 	}
 	return true
 }
 
-// countGood counts a good answer and reports whether it was slow.
+// countGood counts a successful answer and reports whether it was slow.
 func (e *evidence) countGood(svc *world.Service, latency time.Duration) bool {
-	e.own.Good++
+	e.ownPending.Good++
 	slowAfter := svc.Latency.SlowAfter()
 	isSlow := slowAfter > 0 && latency > slowAfter
 	if isSlow {
-		e.own.Slow++
+		e.ownPending.Slow++
 	}
 	return isSlow
 }
--- a/internal/system/detection/judge.go
+++ b/internal/system/detection/judge.go
@@ -10,20 +10,20 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// relate returns the scores of all servers in order, and notes the usual shares
-// of bad answers. When a whole service is slow or failing, that is no single
-// server's fault.
-func (s *System) relate(svc *world.Service) []float64 {
+// updateBaseline returns the sorted scores of all servers and updates the baseline
+// rates of bad answers. If a whole service is slow or failing, no single server is
+// to blame.
+func (s *System) updateBaseline(svc *world.Service) []float64 {
 	scores := make([]float64, 0, len(svc.Backends))
 	var fails, slows []float64
 	for _, b := range svc.Backends {
 		e := s.record(svc.Config.Name, b.Config.ID)
 		scores = append(scores, e.score())
-		fails = append(fails, float64(e.failShare))
-		slows = append(slows, float64(e.slowShare))
+		fails = append(fails, float64(e.failRate))
+		slows = append(slows, float64(e.slowRate))
 	}
 	slices.Sort(scores)
-	s.usual[svc.Config.Name] = usualShares{fail: median(fails), slow: median(slows)}
+	s.baselines[svc.Config.Name] = baselineRates{fail: median(fails), slow: median(slows)}
 	return scores
 }
 
@@ -39,7 +39,7 @@
 	if len(sorted) < 2 {
 		return 0
 	}
-	// Taking one value out of the sorted list shifts the middle by one place.
+	// Removing one value from the sorted list shifts the middle by one position.
 	i, _ := slices.BinarySearch(sorted, own)
 	middle := (len(sorted) - 1) / 2
 	if i <= middle {
@@ -48,23 +48,23 @@
 	return sorted[min(middle, len(sorted)-1)]
 }
 
-func (s *System) judge(w *world.World, now time.Time, svc *world.Service, b *world.BackendServer, e *evidence, sorted []float64) {
+func (s *System) evaluateBackend(w *world.World, now time.Time, svc *world.Service, b *world.BackendServer, e *evidence, sorted []float64) {
 	own := e.score()
 	b.Detection.Relative = own - peerFactor*medianOfOthers(sorted, own)
-	s.suspect(w, now, svc, b)
+	s.updateSuspicion(w, now, svc, b)
 	if b.Detection.Voted {
-		s.holdVote(w, now, svc, b)
+		s.maintainVote(w, now, svc, b)
 		return
 	}
-	s.pathFault(w, now, svc, b, e)
+	s.updatePathFault(w, now, svc, b, e)
 	if !svc.Watches(w.Self.Host) || w.Distrust {
 		return
 	}
 	if b.State == world.BackendSuspect {
-		probe(w, now, svc, b, SuspectProbeEvery, ProbeTimeout)
+		scheduleProbe(w, now, svc, b, SuspectProbeInterval, ProbeTimeout)
 	}
-	if b.Detection.Relative >= ejectScore(svc.Config.Detection) && witnessed(w, now, e) {
-		s.vote(w, now, svc, b, e)
+	if b.Detection.Relative >= ejectScore(svc.Config.Detection) && corroborated(w, now, e) {
+		s.castVote(w, now, svc, b, e)
 	}
 }
 
@@ -75,19 +75,19 @@
 	return EjectCareful
 }
 
-// witnessed reports whether more than one host saw the server fail, where there
-// is more than one.
-func witnessed(w *world.World, now time.Time, e *evidence) bool {
+// corroborated reports whether more than one host saw the server fail, if there is
+// more than one live host.
+func corroborated(w *world.World, now time.Time, e *evidence) bool {
 	live := 0
 	for _, h := range w.Hosts {
 		if h.Live() {
 			live++
 		}
 	}
-	return live <= 1 || e.witnessed(now)
+	return live <= 1 || e.corroborated(now)
 }
 
-func (s *System) suspect(w *world.World, now time.Time, svc *world.Service, b *world.BackendServer) {
+func (s *System) updateSuspicion(w *world.World, now time.Time, svc *world.Service, b *world.BackendServer) {
 	switch {
 	case b.State == world.BackendHealthy && b.Detection.Relative >= SuspectScore:
 		setState(now, svc, b, world.BackendSuspect)
@@ -104,32 +104,33 @@
 	svc.Dirty = true
 }
 
-// pathFault marks a server that this host cannot use although the fleet does
-// not eject it: the path between the two is broken, not the server.
-func (s *System) pathFault(w *world.World, now time.Time, svc *world.Service, b *world.BackendServer, e *evidence) {
-	broken := e.ownFail() >= EjectCareful && b.State != world.BackendEjected
-	if broken == b.Detection.PathFault {
+// updatePathFault marks a server that fails from this host although the fleet has
+// not ejected it: the path between the two is faulty, not the server.
+func (s *System) updatePathFault(w *world.World, now time.Time, svc *world.Service, b *world.BackendServer, e *evidence) {
+	faulty := e.ownFailScore() >= EjectCareful && b.State != world.BackendEjected
+	if faulty == b.Detection.PathFault {
 		return
 	}
-	if !broken && e.ownFail() > ClearScore && b.State != world.BackendEjected {
+	if !faulty && e.ownFailScore() > ClearScore && b.State != world.BackendEjected {
 		return
 	}
-	b.Detection.PathFault = broken
+	b.Detection.PathFault = faulty
 	svc.Dirty = true
-	if broken {
-		w.Record(now, event.BackendPathFault, svc.Config.Name, b.Config.ID, "fails from this host only; it uses others")
+	if faulty {
+		w.Record(now, event.BackendPathFault, svc.Config.Name, b.Config.ID, "fails only from this host; using other servers")
 	}
 }
 
-// judgeSelf doubts this host when nearly all servers look bad from it.
-func (s *System) judgeSelf(w *world.World, now time.Time) {
+// checkOwnNetwork marks this host as distrusting its own network if nearly all
+// servers with recent traffic fail from it.
+func (s *System) checkOwnNetwork(w *world.World, now time.Time) {
 	seen, failing := 0, 0
 	for _, e := range s.records {
 		if now.Sub(e.lastSeen) > trafficWindow {
 			continue
 		}
 		seen++
-		if e.ownFail() >= SuspectScore {
+		if e.ownFailScore() >= SuspectScore {
 			failing++
 		}
 	}
--- a/internal/system/detection/vote.go
+++ b/internal/system/detection/vote.go
@@ -11,8 +11,8 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// vote holds a server ejected in this watcher's name.
-func (s *System) vote(w *world.World, now time.Time, svc *world.Service, b *world.BackendServer, e *evidence) {
+// castVote casts this watcher's vote to eject a server.
+func (s *System) castVote(w *world.World, now time.Time, svc *world.Service, b *world.BackendServer, e *evidence) {
 	d := &b.Detection
 	relapsed := !d.ReturnedAt.IsZero() && now.Sub(d.ReturnedAt) < RelapseWindow
 	if relapsed {
@@ -25,33 +25,33 @@
 	d.ProbesGood = 0
 	d.ProbeAt = now.Add(holdOff(d.Relapses))
 	verdict.Cast(w, now, svc, b)
-	w.Record(now, event.BackendVoted, svc.Config.Name, b.Config.ID, fmt.Sprintf("score %.1f, seen failing by %d hosts, relapses %d", d.Relative, len(e.without), d.Relapses))
+	w.Record(now, event.BackendVoted, svc.Config.Name, b.Config.ID, fmt.Sprintf("score %.1f, seen failing by %d hosts, relapses %d", d.Relative, len(e.excluding), d.Relapses))
 }
 
 func holdOff(relapses int) time.Duration {
-	hold := HoldOff
+	hold := MinHoldOff
 	for range relapses {
 		hold = min(2*hold, MaxHoldOff)
 	}
 	return hold
 }
 
-// holdVote renews a vote and probes for the server's return.
-func (s *System) holdVote(w *world.World, now time.Time, svc *world.Service, b *world.BackendServer) {
+// maintainVote renews the vote and probes the server for recovery.
+func (s *System) maintainVote(w *world.World, now time.Time, svc *world.Service, b *world.BackendServer) {
 	d := &b.Detection
 	if !now.Before(d.RenewAt) {
 		d.RenewAt = now.Add(verdict.RenewEvery)
 		verdict.Cast(w, now, svc, b)
 	}
-	// A server returns only if it also answers as quickly as its peers.
+	// A server returns only if it also answers as fast as its peers.
 	timeout := ProbeTimeout
 	if slowAfter := svc.Latency.SlowAfter(); slowAfter > 0 {
 		timeout = min(timeout, slowAfter)
 	}
-	probe(w, now, svc, b, ReturnProbeEvery, timeout)
+	scheduleProbe(w, now, svc, b, RecoveryProbeInterval, timeout)
 }
 
-func probe(w *world.World, now time.Time, svc *world.Service, b *world.BackendServer, every, timeout time.Duration) {
+func scheduleProbe(w *world.World, now time.Time, svc *world.Service, b *world.BackendServer, every, timeout time.Duration) {
 	if now.Before(b.Detection.ProbeAt) {
 		return
 	}
@@ -65,9 +65,9 @@
 	})
 }
 
-// probeGood takes a good probe. A gray server answers health checks well, so
-// a probe of the health endpoint is no evidence of health; one of a path that
-// does real work is.
+// probeGood handles a successful probe. A server with a gray failure may still
+// pass health checks, so only a probe of a path that does real work counts as
+// evidence of health.
 func (s *System) probeGood(w *world.World, now time.Time, svc *world.Service, b *world.BackendServer, e *evidence, o *peerpb.Observation) {
 	d := &b.Detection
 	if !d.Voted {
@@ -77,22 +77,22 @@
 		return
 	}
 	d.ProbesGood++
-	if d.ProbesGood < ProbesToReturn {
+	if d.ProbesGood < ProbesToRecover {
 		return
 	}
 	d.Voted = false
 	d.ReturnedAt = now
 	*e = *newEvidence()
 	verdict.End(w, now, svc, b)
-	w.Record(now, event.BackendVoteEnded, svc.Config.Name, b.Config.ID, fmt.Sprintf("%d good probes", ProbesToReturn))
+	w.Record(now, event.BackendVoteEnded, svc.Config.Name, b.Config.ID, fmt.Sprintf("%d successful probes", ProbesToRecover))
 }
 
-// probeFailed takes a failed probe.
+// probeFailed handles a failed probe.
 func (s *System) probeFailed(now time.Time, svc *world.Service, b *world.BackendServer, e *evidence) {
 	b.Detection.ProbesGood = 0
 	if b.Detection.Voted {
 		return
 	}
-	e.own.Failed++
-	bad(now, svc, e)
+	e.ownPending.Failed++
+	noteFailure(now, svc, e)
 }
--- a/internal/system/rotation/rotation.go
+++ b/internal/system/rotation/rotation.go
@@ -1,6 +1,6 @@
 // Package rotation decides which backend servers a host uses. Verdicts, drains
-// and local avoidance take servers out in one deterministic order and only
-// while the service's capacity stays at its floor.
+// and path faults remove servers in a deterministic order, and only as far as
+// the capacity floor of the service allows.
 package rotation
 
 import (
@@ -18,15 +18,16 @@
 )
 
 const (
-	// SlowStart is the time in which a returned or new server comes to its
-	// full share.
+	// SlowStart is the time over which a returned or new server is ramped up to
+	// its full weight.
 	SlowStart = 10 * time.Second
-	// TrialRequests good idempotent requests, or TrialTime, end the trial.
+	// The trial of a server ends after TrialRequests successful idempotent
+	// requests or after TrialTime.
 	TrialRequests = 5
 	TrialTime     = 5 * time.Second
 
 	trialWeight     = 0.1
-	lastWeight      = 0.05 // kept only for the floor
+	floorWeight     = 0.05 // server kept only to hold the floor
 	suspectWeight   = 0.3
 	fullWeight      = 1.0
 	reasonLeaving   = "leaving"
@@ -40,10 +41,10 @@
 	reasonSuspect   = "suspect"
 )
 
-// System is the rotation step.
+// System is the rotation step of a tick.
 type System struct{}
 
-// Run recomputes the services that changed or change with time.
+// Run recomputes the rotation of services that have changed or have time-dependent state.
 func (System) Run(w *world.World, now time.Time) {
 	for _, svc := range w.Services {
 		if svc.Dirty || svc.Busy {
@@ -52,25 +53,26 @@
 	}
 }
 
-// plan is one service's rotation in the making.
+// plan is the rotation of one service while it is computed.
 type plan struct {
 	w     *world.World
 	now   time.Time
 	svc   *world.Service
 	floor int
-	// next are the rotations of servers other than full: nearly all are in full rotation.
-	next  map[*world.BackendServer]world.Rotation
-	in    int // servers in rotation
-	whole int // of these, open to non-idempotent requests
+	// planned holds the servers that are not in full rotation. Nearly all servers are, and
+	// have no entry.
+	planned    map[*world.BackendServer]world.Rotation
+	inRotation int // servers in rotation
+	open       int // servers in rotation that accept non-idempotent requests
 }
 
 func rotate(w *world.World, now time.Time, svc *world.Service) {
 	p := &plan{
-		w:     w,
-		now:   now,
-		svc:   svc,
-		floor: Floor(w, svc),
-		next:  make(map[*world.BackendServer]world.Rotation),
+		w:       w,
+		now:     now,
+		svc:     svc,
+		floor:   Floor(w, svc),
+		planned: make(map[*world.BackendServer]world.Rotation),
 	}
 	tallies := verdict.Count(w, svc.Config.Name)
 	for _, b := range svc.Backends {
@@ -80,12 +82,12 @@
 	p.removeDrained()
 	p.removeEjected(tallies)
 	p.removePathFaults()
-	p.restrict()
+	p.restrictUnproven()
 	p.apply()
 }
 
-// Floor returns the floor in force: the published one, or an operator's as
-// long as the published value is the one it replaced.
+// Floor returns the effective floor: the published one, or an operator's
+// override while the published value is still the one that it replaced.
 func Floor(w *world.World, svc *world.Service) int {
 	floor := svc.Config.Floor
 	if set, ok := directive.Floor(w.Registers, svc.Config.Name, floor); ok {
@@ -94,73 +96,74 @@
 	return min(floor, len(svc.Backends))
 }
 
-// advance moves a server's state with the votes and the time.
+// advance updates the state of a server from the votes and the elapsed time.
 func (p *plan) advance(b *world.BackendServer, tally verdict.Tally) {
 	ejected := tally.Votes >= verdict.Majority(p.svc) && tally.Votes > 0
 	name := p.svc.Config.Name
 	switch {
 	case ejected && b.State != world.BackendEjected:
-		p.set(b, world.BackendEjected)
+		p.setState(b, world.BackendEjected)
 		b.Detection.Relapses = max(b.Detection.Relapses, tally.Relapses)
 		p.w.Record(p.now, event.BackendEjected, name, b.Config.ID, fmt.Sprintf("%d votes", tally.Votes))
 	case !ejected && b.State == world.BackendEjected:
-		p.set(b, world.BackendTrial)
+		p.setState(b, world.BackendTrial)
 		b.Detection.TrialGood = 0
 		b.Detection.ReturnedAt = p.now
 		p.w.Record(p.now, event.BackendReturned, name, b.Config.ID, "trial, then slow start")
 	case b.State == world.BackendTrial && p.now.Sub(b.Since) >= TrialTime+SlowStart:
-		p.set(b, world.BackendHealthy)
+		p.setState(b, world.BackendHealthy)
 	}
 }
 
-func (p *plan) set(b *world.BackendServer, state world.BackendState) {
+func (p *plan) setState(b *world.BackendServer, state world.BackendState) {
 	b.State = state
 	b.Since = p.now
 	p.svc.Busy = true
 }
 
-// admit takes in every server but those that the platform marks as leaving, or whose data
-// centre it evacuates. They must get nothing, so they are no capacity that a floor could keep.
+// admit adds all servers except those that the platform marks as leaving or whose data centre
+// is evacuated. These must get no requests at all, so the floor does not keep them either.
 func (p *plan) admit() {
 	for _, b := range p.svc.Backends {
 		switch {
 		case b.Config.Leaving:
-			p.next[b] = world.Rotation{Reason: reasonLeaving}
+			p.planned[b] = world.Rotation{Reason: reasonLeaving}
 		case slices.Contains(p.w.Evacuated, b.Config.DataCentre):
-			p.next[b] = world.Rotation{Reason: reasonEvacuated}
+			p.planned[b] = world.Rotation{Reason: reasonEvacuated}
 		default:
-			p.in++
+			p.inRotation++
 		}
 	}
-	p.whole = p.in
+	p.open = p.inRotation
 }
 
-// of returns the rotation that a server is to have.
-func (p *plan) of(b *world.BackendServer) world.Rotation {
-	if next, ok := p.next[b]; ok {
+// rotationOf returns the planned rotation of a server.
+func (p *plan) rotationOf(b *world.BackendServer) world.Rotation {
+	if next, ok := p.planned[b]; ok {
 		return next
 	}
 	return world.Rotation{In: true, Weight: fullWeight}
 }
 
-// remove takes a server out while more than least stay, and reports whether it is out.
-func (p *plan) remove(b *world.BackendServer, reason string, least int) bool {
-	if !p.of(b).In {
+// removeAbove removes a server if more than minimum servers are in rotation, and reports
+// whether the server is out of rotation.
+func (p *plan) removeAbove(b *world.BackendServer, reason string, minimum int) bool {
+	if !p.rotationOf(b).In {
 		return true
 	}
-	if p.in <= least {
+	if p.inRotation <= minimum {
 		return false
 	}
-	p.next[b] = world.Rotation{Reason: reason}
-	p.in--
-	p.whole--
+	p.planned[b] = world.Rotation{Reason: reason}
+	p.inRotation--
+	p.open--
 	return true
 }
 
 func (p *plan) removeDrained() {
 	for _, drain := range directive.Drains(p.w.Registers, p.svc.Config.Name) {
 		if b := p.svc.Backend(drain.Backend); b != nil {
-			p.removeOrKeep(b, reasonDrained, p.floor)
+			p.removeOrKeepForFloor(b, reasonDrained, p.floor)
 		}
 	}
 }
@@ -174,58 +177,60 @@
 	}
 	slices.SortFunc(ejected, func(a, b *world.BackendServer) int {
 		return cmp.Or(
-			register.Compare(first(tallies, a), first(tallies, b)),
+			register.Compare(firstVote(tallies, a), firstVote(tallies, b)),
 			cmp.Compare(a.Config.ID, b.Config.ID),
 		)
 	})
 	for _, b := range ejected {
-		p.removeOrKeep(b, reasonEjected, p.floor)
+		p.removeOrKeepForFloor(b, reasonEjected, p.floor)
 	}
 }
 
-func first(tallies map[string]verdict.Tally, b *world.BackendServer) *peerpb.Stamp {
+func firstVote(tallies map[string]verdict.Tally, b *world.BackendServer) *peerpb.Stamp {
 	return tallies[b.Config.ID].First
 }
 
-// removeOrKeep removes a server while more than least stay, or keeps it as a last choice.
-func (p *plan) removeOrKeep(b *world.BackendServer, reason string, least int) {
-	if p.remove(b, reason, least) {
+// removeOrKeepForFloor removes a server if more than minimum servers are in rotation, and
+// otherwise keeps it with the lowest weight.
+func (p *plan) removeOrKeepForFloor(b *world.BackendServer, reason string, minimum int) {
+	if p.removeAbove(b, reason, minimum) {
 		return
 	}
-	p.next[b] = world.Rotation{In: true, Weight: lastWeight, Reason: reasonFloor}
+	p.planned[b] = world.Rotation{In: true, Weight: floorWeight, Reason: reasonFloor}
 }
 
-// removePathFaults takes out what fails from this host only, while half of the servers
-// stay: a host that sees nearly all of them fail has seen a request that ends them, one after
-// the other, or its own network, and would refuse all requests.
+// removePathFaults removes servers that fail only from this host, but keeps at least half of
+// the servers. If nearly all servers fail from one host, the cause is a request that crashes
+// one server after the other or the host's own network, and removing them all would make the
+// host refuse every request.
 func (p *plan) removePathFaults() {
-	stays := max(p.floor, (len(p.svc.Backends)+1)/2)
+	minimum := max(p.floor, (len(p.svc.Backends)+1)/2)
 	for _, b := range p.svc.Backends {
 		if b.Detection.PathFault {
-			p.removeOrKeep(b, reasonPath, stays)
+			p.removeOrKeepForFloor(b, reasonPath, minimum)
 		}
 	}
 }
 
-// restrict keeps non-idempotent requests away from suspects and servers on
-// trial, worst first, while enough others are left to hold the floor.
-func (p *plan) restrict() {
-	var doubtful []*world.BackendServer
+// restrictUnproven limits suspect servers and servers on trial to idempotent
+// requests, worst score first, while enough others are left to hold the floor.
+func (p *plan) restrictUnproven() {
+	var restricted []*world.BackendServer
 	for _, b := range p.svc.Backends {
-		if p.of(b).In && (b.State == world.BackendSuspect || b.State == world.BackendTrial) {
-			doubtful = append(doubtful, b)
+		if p.rotationOf(b).In && (b.State == world.BackendSuspect || b.State == world.BackendTrial) {
+			restricted = append(restricted, b)
 		}
 	}
-	slices.SortFunc(doubtful, func(a, b *world.BackendServer) int {
+	slices.SortFunc(restricted, func(a, b *world.BackendServer) int {
 		return cmp.Or(cmp.Compare(b.Detection.Relative, a.Detection.Relative), cmp.Compare(a.Config.ID, b.Config.ID))
 	})
-	for _, b := range doubtful {
+	for _, b := range restricted {
 		p.restrictOne(b)
 	}
 }
 
 func (p *plan) restrictOne(b *world.BackendServer) {
-	r := p.of(b)
+	r := p.rotationOf(b)
 	if r.Reason == reasonFloor {
 		return
 	}
@@ -234,16 +239,16 @@
 		r.Weight, r.Reason = suspectWeight, reasonSuspect
 		idempotentOnly = true
 	} else {
-		r.Weight, r.Reason, idempotentOnly = p.trial(b)
+		r.Weight, r.Reason, idempotentOnly = p.trialRotation(b)
 	}
-	if idempotentOnly && p.whole > max(p.floor, 1) {
+	if idempotentOnly && p.open > max(p.floor, 1) {
 		r.IdempotentOnly = true
-		p.whole--
+		p.open--
 	}
-	p.next[b] = r
+	p.planned[b] = r
 }
 
-func (p *plan) trial(b *world.BackendServer) (weight float64, reason string, idempotentOnly bool) {
+func (p *plan) trialRotation(b *world.BackendServer) (weight float64, reason string, idempotentOnly bool) {
 	age := p.now.Sub(b.Since)
 	if b.Detection.TrialGood < TrialRequests && age < TrialTime {
 		return trialWeight, reasonTrial, true
@@ -254,7 +259,7 @@
 
 func (p *plan) apply() {
 	for _, b := range p.svc.Backends {
-		next := p.of(b)
+		next := p.rotationOf(b)
 		if next == b.Rotation {
 			continue
 		}
@@ -266,5 +271,4 @@
 	}
 }
 
-// Interface guard.
 var _ world.System = System{}
--- a/internal/system/rotation/rotation_test.go
+++ b/internal/system/rotation/rotation_test.go
@@ -38,23 +38,23 @@
 
 // counts returns how many servers are in rotation, how many of these take
 // non-idempotent requests, and how many the platform marks as leaving.
-func counts(svc *world.Service) (in, whole, leaving int) {
+func counts(svc *world.Service) (in, open, leaving int) {
 	for _, b := range svc.Backends {
 		if b.Rotation.In {
 			in++
 		}
 		if b.Rotation.In && !b.Rotation.IdempotentOnly {
-			whole++
+			open++
 		}
 		if b.Config.Leaving {
 			leaving++
 		}
 	}
-	return in, whole, leaving
+	return in, open, leaving
 }
 
-// step plants one random event on the service.
-func step(t *rapid.T, w *world.World, svc *world.Service, now time.Time) {
+// applyRandomEvent applies one random event to the service.
+func applyRandomEvent(t *rapid.T, w *world.World, svc *world.Service, now time.Time) {
 	b := rapid.SampledFrom(svc.Backends).Draw(t, "server")
 	on := rapid.Bool().Draw(t, "on")
 	switch rapid.SampledFrom([]string{"vote", "drain", "leaving", "path", "suspect", "floor"}).Draw(t, "event") {
@@ -98,28 +98,30 @@
 	w.Write(now, r)
 }
 
-// Under every mix of ejection, avoidance, drain and leaving, the servers in
-// rotation stay at the floor, or are all that the platform has not marked as
-// leaving; and the same holds for those open to non-idempotent requests.
-func TestFloorHoldsUnderAnyMix(t *testing.T) {
+// Under any combination of ejections, path faults, drains and leaving servers,
+// the number of servers in rotation, and of those that accept non-idempotent
+// requests, does not fall below the floor or, if that is less, the number of
+// servers that are not leaving.
+func TestFloorHoldsUnderAnyCombination(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "servers")
 		w, svc := newWorld(n, rapid.IntRange(0, n).Draw(t, "floor"))
 		now := epoch
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 20_000).Draw(t, "ms")) * time.Millisecond)
-			step(t, w, svc, now)
+			applyRandomEvent(t, w, svc, now)
 			rotation.System{}.Run(w, now)
-			in, whole, leaving := counts(svc)
+			in, open, leaving := counts(svc)
 			want := min(rotation.Floor(w, svc), n-leaving)
-			if in < want || whole < want {
-				t.Fatalf("%d in rotation, %d open to non-idempotent requests, floor %d, %d of %d leaving", in, whole, want, leaving, n)
+			if in < want || open < want {
+				t.Fatalf("%d in rotation, %d open to non-idempotent requests, floor %d, %d of %d leaving", in, open, want, leaving, n)
 			}
 		}
 	})
 }
 
-// Hosts that hold the same registers in any order come to the same rotation.
+// Hosts that hold the same registers compute the same rotation, whatever the
+// order in which the registers arrived.
 func TestSameRegistersSameRotation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 8).Draw(t, "servers")
@@ -143,11 +145,11 @@
 	})
 }
 
-// A host that sees all servers fail keeps using half of them. A request had ended one
-// server after the other through one host, which then held each of them for out of its own
-// reach and refused everything, "no backend server of shop may take this request", while
-// the servers had long started again.
-func TestPathFaultsLeaveHalfOfTheServers(t *testing.T) {
+// A host from which all servers fail keeps half of them in rotation. Guards against a host
+// through which a request crashes one server after the other: it recorded a path fault for
+// each and refused all requests ("no backend server of shop may take this request") although
+// the servers had restarted long before.
+func TestPathFaultsKeepHalfOfTheServers(t *testing.T) {
 	w, svc := newWorld(6, 0)
 	for _, b := range svc.Backends {
 		b.Detection.PathFault = true
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -29,8 +29,8 @@
   fi
 }
 
-mutant "floor" internal/system/rotation/rotation.go 's/if p.in <= least {/if false {/' ./internal/system/rotation
-mutant "floor of non-idempotent" internal/system/rotation/rotation.go 's/idempotentOnly \&\& p.whole > max(p.floor, 1)/idempotentOnly/' ./internal/system/rotation
+mutant "floor" internal/system/rotation/rotation.go 's/if p.inRotation <= minimum {/if false {/' ./internal/system/rotation
+mutant "floor of non-idempotent" internal/system/rotation/rotation.go 's/idempotentOnly \&\& p.open > max(p.floor, 1)/idempotentOnly/' ./internal/system/rotation
 mutant "own answer" internal/dispatch/judge.go 's/return echo == x.req.ID/return echo != ""/' ./e2e -ginkgo.focus "another request's ID"
 mutant "abort of a short answer" internal/dispatch/answer.go '0,/panic(http.ErrAbortHandler)/s//return/' ./e2e -ginkgo.focus "cut short|cannot be continued"
 mutant "resumed download" internal/dispatch/answer.go 's/if !c.resumable {/if true {/' ./e2e -ginkgo.focus "continues a download"
@@ -58,7 +58,7 @@
 mutant "the later end of two rests" internal/availability/availability.go 's/ \&\& until.After(held.RestUntil)//' ./internal/availability
 mutant "stop grace" internal/daemon/stop.go 's/^	wait(ctx, time.Duration(d.settings.Timing.StopGrace))$//' ./e2e -ginkgo.focus "kept connections"
 mutant "graceful end" internal/daemon/stop.go 's/d.callerServer.Shutdown(ctx), d.peerServer.Shutdown(ctx)/d.callerServer.Close(), d.peerServer.Close()/' ./e2e -ginkgo.focus "in turn under load"
-mutant "witnesses" internal/system/detection/judge.go 's/return live <= 1 || e.witnessed(now)/return true/' ./experiment/detection -run NoFalse
+mutant "witnesses" internal/system/detection/judge.go 's/return live <= 1 || e.corroborated(now)/return true/' ./experiment/detection -run NoFalse
 mutant "peers' score" internal/system/detection/score.go 's/peerFactor = 3/peerFactor = 0/' ./experiment/detection -run NoFalse
 mutant "gossip reaches all" internal/gossip/queue.go "s/extraTransmits = 8/extraTransmits = 0/" ./internal/membership
 mutant "asking ends" internal/claims/coordinator.go "s/time.Now().After(giveUp)/giveUp.IsZero()/" ./internal/claims
@@ -107,7 +107,7 @@
 mutant "leaving servers are no evidence" internal/dispatch/ended.go 's/return x.inRotation(lease.Server) \&\& /return /' ./e2e -ginkgo.focus "after it was drained"
 mutant "a host that stood still is no witness" internal/dispatch/ended.go 's/x.d.snapshot().Fresh(time.Now(), boottime.Suspended())/(x.d.snapshot().Fresh(time.Now(), boottime.Suspended()) || true)/' ./e2e -ginkgo.focus "stood still"
 mutant "an end is checked" internal/dispatch/ended.go 's/fate == upstream.FateEnded \&\& /(fate == upstream.FateEnded || true) \&\& /' ./e2e -ginkgo.focus "evidence that a request"
-mutant "path faults leave half" internal/system/rotation/rotation.go 's|stays := max(p.floor, (len(p.svc.Backends)+1)/2)|stays := p.floor|' ./internal/system/rotation
+mutant "path faults leave half" internal/system/rotation/rotation.go 's|minimum := max(p.floor, (len(p.svc.Backends)+1)/2)|minimum := p.floor|' ./internal/system/rotation
 mutant "suspension" internal/engine/engine.go 's/pause := max(world.Elapsed(e.lastTick, now), now.Sub(e.lastTick)+slept)/pause := world.Elapsed(e.lastTick, now)/' ./internal/engine
 mutant "spent allowance" internal/policy/pick.go 's/return rule.IdempotentFailure + spent\*/return rule.IdempotentFailure + 0*spent*/' ./internal/policy
 mutant "trouble within a second" internal/policy/breadth.go 's/ || svc.manyUnserved(now, windowBuckets\/2)//' ./internal/policy
