--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -251,18 +251,18 @@
 	if len(ids) > len(t.servers) {
 		return t.fullList(now)
 	}
-	change := t.listOf(now, slices.Sorted(maps.Keys(ids)))
+	change := t.snapshot(now, slices.Sorted(maps.Keys(ids)))
 	change.Base = revision
 	return change
 }
 
 func (t *Table) fullList(now time.Time) *config.Discovered {
-	return t.listOf(now, slices.Sorted(maps.Keys(t.servers)))
+	return t.snapshot(now, slices.Sorted(maps.Keys(t.servers)))
 }
 
-// listOf returns the current entries of the given servers. Unknown IDs are listed as removed.
-func (t *Table) listOf(now time.Time, ids []string) *config.Discovered {
-	list := &config.Discovered{
+// snapshot returns the current entries of the given servers. Unknown IDs are listed as removed.
+func (t *Table) snapshot(now time.Time, ids []string) *config.Discovered {
+	snapshot := &config.Discovered{
 		Digest:       t.digest,
 		Evacuated:    t.evacuated,
 		AbsenceGrace: config.Duration(max(t.graceUntil.Sub(now), 0)),
@@ -270,12 +270,12 @@
 	}
 	for _, id := range ids {
 		if held, known := t.servers[id]; known {
-			list.Backends = append(list.Backends, held.withRemainingWarmup(now))
+			snapshot.Backends = append(snapshot.Backends, held.withRemainingWarmup(now))
 		} else {
-			list.Removed = append(list.Removed, id)
+			snapshot.Removed = append(snapshot.Removed, id)
 		}
 	}
-	return list
+	return snapshot
 }
 
 // digestOf returns a hash of an entry. Warmup is excluded: it is a remaining time, which
--- a/internal/system/configsync/absence.go
+++ b/internal/system/configsync/absence.go
@@ -8,13 +8,13 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// keepAbsent reports whether this host uses a backend server on that is no longer registered,
-// because its absence may be due to the platform's own. It is this host's choice alone: what
-// hosts pass on to others is what the platform holds. The reader says in its list for how
-// long registrations may still be missing; grace is 0 where it may have been cut off from the
-// platform alone. Where others had answers meanwhile, a server that is not listed has left,
-// and must get no more requests.
-func keepAbsent(w *world.World, now time.Time, b *config.DiscoveredBackend, grace time.Duration) bool {
+// retainAbsent reports whether this host keeps using a backend server that is no longer
+// registered, because its registration may have lapsed during an outage of the platform. The
+// decision is local: hosts pass on only what the platform holds. The list carries the grace
+// period for which registrations may still be missing. It is 0 if only the reader may have been
+// cut off from the platform: if other hosts received answers meanwhile, an unlisted server has
+// left and must get no more requests.
+func retainAbsent(w *world.World, now time.Time, b *config.DiscoveredBackend, grace time.Duration) bool {
 	if absent, ok := w.Absent[b.ID]; ok {
 		return now.Before(absent.Until)
 	}
@@ -26,8 +26,8 @@
 	return true
 }
 
-// dropAbsent takes out the backend servers that did not come back in time.
-func dropAbsent(w *world.World, now time.Time) {
+// removeExpired removes absent backend servers whose grace period has ended.
+func removeExpired(w *world.World, now time.Time) {
 	for id, absent := range w.Absent {
 		if now.Before(absent.Until) {
 			continue
--- a/internal/system/configsync/answer.go
+++ b/internal/system/configsync/answer.go
@@ -14,20 +14,21 @@
 )
 
 const (
-	// compressFrom is the size in bytes from which a document is compressed.
-	compressFrom = 2 << 10
-	// answerHolds is for how long an answer to others is given again as it is: several hosts
-	// ask for the same at a time, and times left in it are a little too long then.
-	answerHolds = 400 * time.Millisecond
-	// maxDocumentBytes bounds what a compressed document may become.
+	// minCompressBytes is the size from which documents are compressed.
+	minCompressBytes = 2 << 10
+	// answerCacheTTL is the time for which an answer is reused, since several hosts request the
+	// same document at the same time. Remaining times in a reused answer are too long by up to
+	// this value.
+	answerCacheTTL = 400 * time.Millisecond
+	// maxDocumentBytes limits the size of a decompressed document.
 	maxDocumentBytes = 16 << 20
 )
 
-// compressors are kept: each takes 0.8 MB.
+// compressors is a pool because each gzip writer takes 0.8 MB.
 var compressors = sync.Pool{New: func() any { return gzip.NewWriter(io.Discard) }}
 
-// Answer returns the revision that this host holds of a document and the document, or the
-// change to it, that brings a host which holds an older revision up to date.
+// Answer returns the response for a host that holds revision after of a document: the local
+// revision and, if that is newer, the document or the delta that brings the host up to date.
 func Answer(w *world.World, now time.Time, doc *world.Document, after uint64) (*peerpb.DocumentResponse, error) {
 	if doc.Incomplete {
 		return &peerpb.DocumentResponse{}, nil
@@ -35,32 +36,33 @@
 	if doc.Revision <= after {
 		return &peerpb.DocumentResponse{Revision: doc.Revision}, nil
 	}
-	if doc.Answers.Revision != doc.Revision || now.Sub(doc.Answers.MadeAt) > answerHolds {
+	if doc.Answers.Revision != doc.Revision || now.Sub(doc.Answers.MadeAt) > answerCacheTTL {
 		doc.Answers = world.DocumentAnswers{Revision: doc.Revision, MadeAt: now, ByHeld: make(map[uint64]*peerpb.DocumentResponse)}
 	}
-	if made, ok := doc.Answers.ByHeld[after]; ok {
-		return made, nil
+	if cached, ok := doc.Answers.ByHeld[after]; ok {
+		return cached, nil
 	}
 	raw, err := contentFor(w, now, doc, after)
 	if err != nil {
 		return nil, err
 	}
 	resp := &peerpb.DocumentResponse{Revision: doc.Revision, Document: raw}
-	if len(raw) >= compressFrom {
+	if len(raw) >= minCompressBytes {
 		resp.Document, resp.Gzipped = compress(raw), true
 	}
 	doc.Answers.ByHeld[after] = resp
 	return resp, nil
 }
 
-// contentFor is what a host needs that holds a revision.
+// contentFor returns the full document, or for the list of backend servers the delta from
+// the held revision.
 func contentFor(w *world.World, now time.Time, doc *world.Document, held uint64) ([]byte, error) {
 	if doc.Key != world.KeyDiscovered {
 		return doc.Raw, nil
 	}
 	raw, err := json.Marshal(w.Registry.Since(now, held))
 	if err != nil {
-		return nil, errs.Wrap(err, errs.KindConfig, "list of backend servers cannot be written", "report this as a fault of pearshelf")
+		return nil, errs.Wrap(err, errs.KindConfig, "list of backend servers cannot be encoded", "report this as a fault of pearshelf")
 	}
 	return raw, nil
 }
@@ -70,23 +72,23 @@
 	writer := compressors.Get().(*gzip.Writer)
 	defer compressors.Put(writer)
 	writer.Reset(&out)
-	_, _ = writer.Write(raw) // to memory
+	_, _ = writer.Write(raw) // writes to memory do not fail
 	_ = writer.Close()
 	return out.Bytes()
 }
 
-// Content is the document of another host's answer.
+// Content returns the document in a peer's response, decompressed if necessary.
 func Content(resp *peerpb.DocumentResponse) ([]byte, error) {
 	if !resp.Gzipped {
 		return resp.Document, nil
 	}
 	reader, err := gzip.NewReader(bytes.NewReader(resp.Document))
 	if err != nil {
-		return nil, errs.Wrap(err, errs.KindPeer, "document of another host cannot be read", "nothing to do: it is asked for again")
+		return nil, errs.Wrap(err, errs.KindPeer, "document from a peer has no valid gzip header", "no action needed: the document is fetched again")
 	}
 	raw, err := io.ReadAll(io.LimitReader(reader, maxDocumentBytes))
 	if err != nil {
-		return nil, errs.Wrap(err, errs.KindPeer, "document of another host broke off", "nothing to do: it is asked for again")
+		return nil, errs.Wrap(err, errs.KindPeer, "document from a peer cannot be decompressed", "no action needed: the document is fetched again")
 	}
 	return raw, nil
 }
--- a/internal/system/configsync/apply.go
+++ b/internal/system/configsync/apply.go
@@ -16,22 +16,23 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// Accept takes a document that arrived from the platform or a peer. A revision
-// not above the one in force is ignored, a bad document is refused whole.
+// Accept applies a document received from the platform or a peer. A revision
+// that is not newer than the current one is ignored, unless the document is
+// incomplete. An invalid document is rejected as a whole.
 func Accept(w *world.World, now time.Time, key string, revision uint64, raw []byte) {
 	doc := w.Document(key)
 	doc.Fetching = time.Time{}
 	if revision < doc.Revision || revision == doc.Revision && !doc.Incomplete {
-		noteOlder(w, now, doc, revision)
+		recordOlder(w, now, doc, revision)
 		return
 	}
 	doc.Attempts = 0
 	if revision == doc.Refused {
 		return
 	}
-	err := applyGuarded(w, now, doc, revision, raw)
+	err := applyRecovering(w, now, doc, revision, raw)
 	if isIncomplete(err) {
-		noteIncomplete(w, now, doc, err)
+		markIncomplete(w, now, doc, err)
 		return
 	}
 	if err != nil {
@@ -41,14 +42,14 @@
 		return
 	}
 	doc.Revision = revision
-	doc.Fetching = now.Add(ChangeGap)
+	doc.Fetching = now.Add(MinFetchInterval)
 	doc.RefusedReason = ""
 	w.HeadsChanged = true
 	w.Record(now, event.ConfigApplied, "", "", fmt.Sprintf("%s revision %d", key, revision))
 	announce(w, now, key, revision)
 }
 
-func noteOlder(w *world.World, now time.Time, doc *world.Document, revision uint64) {
+func recordOlder(w *world.World, now time.Time, doc *world.Document, revision uint64) {
 	if revision < doc.Revision {
 		w.Record(now, event.ConfigOlder, "", "", fmt.Sprintf("%s revision %d ignored, %d is in force", doc.Key, revision, doc.Revision))
 	}
@@ -62,7 +63,7 @@
 // IsHead reports whether a register announces a document's revision.
 func IsHead(r *peerpb.Register) bool { return strings.HasPrefix(r.Key, headPrefix) }
 
-// announce tells the fleet of a revision unless it is already known.
+// announce publishes a revision to the fleet unless it is already known.
 func announce(w *world.World, now time.Time, key string, revision uint64) {
 	if w.Registers.Stamp(HeadKey(key)).GetRevision() >= revision {
 		return
@@ -78,9 +79,9 @@
 	})
 }
 
-// applyGuarded refuses a document that makes this host panic: each host that reads it would
-// end, and again after each start.
-func applyGuarded(w *world.World, now time.Time, doc *world.Document, revision uint64, raw []byte) (err error) {
+// applyRecovering applies a document and turns a panic into an error. Otherwise the document
+// would crash every host that reads it, again after each restart.
+func applyRecovering(w *world.World, now time.Time, doc *world.Document, revision uint64, raw []byte) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = errs.New(errs.KindConfig, fmt.Sprintf("this host failed to read it: %v", cause), "publish an older version, and report the document")
@@ -89,14 +90,14 @@
 	if doc.Key == world.KeyDiscovered {
 		return applyDiscovered(w, now, doc, revision, raw)
 	}
-	if err := applyWhole(w, now, doc.Key, raw); err != nil {
+	if err := applyDocument(w, now, doc.Key, raw); err != nil {
 		return err
 	}
 	doc.Raw = raw
 	return nil
 }
 
-func applyWhole(w *world.World, now time.Time, key string, raw []byte) error {
+func applyDocument(w *world.World, now time.Time, key string, raw []byte) error {
 	switch key {
 	case world.KeyIndex:
 		return applyIndex(w, now, raw)
@@ -174,7 +175,7 @@
 	return nil
 }
 
-// checkCustomers refuses customers that another document has, by name or by key.
+// checkCustomers rejects customers whose name or key another document already declares.
 func checkCustomers(w *world.World, document string, customers []config.Customer) error {
 	names := make(map[string]bool)
 	keys := make(map[string]bool)
@@ -190,8 +191,8 @@
 		}
 	}
 	for i := range customers {
-		shared := slices.ContainsFunc(customers[i].KeyDigests, func(digest string) bool { return keys[digest] })
-		if names[customers[i].Name] || shared {
+		sharesKey := slices.ContainsFunc(customers[i].KeyDigests, func(digest string) bool { return keys[digest] })
+		if names[customers[i].Name] || sharesKey {
 			return errs.New(errs.KindConfig, fmt.Sprintf("customer %q or a key of it is in another document too", customers[i].Name), "declare each customer in one shard")
 		}
 	}
@@ -199,7 +200,7 @@
 }
 
 // withDiscovered returns the configuration with the registered backend
-// servers, unless it lists its own.
+// servers filled in, unless it lists its own.
 func withDiscovered(w *world.World, svc *world.Service, conf *config.Service) *config.Service {
 	if svc.ListsBackends {
 		return conf
@@ -209,15 +210,15 @@
 	return &merged
 }
 
-// applyService replaces a service's configuration and keeps what is known of
-// the backend servers that stay.
+// applyService replaces the configuration of a service and keeps the state of
+// the backend servers that remain.
 func applyService(w *world.World, now time.Time, key string, conf *config.Service) {
 	held, known := w.Services[conf.Name]
 	svc := &world.Service{Document: key}
 	if known {
 		*svc = *held
 	}
-	if !known || held.Config != conf { // a new document, not new backend servers
+	if !known || held.Config != conf { // the document changed, not only the backend servers
 		svc.ListsBackends = len(conf.Backends) > 0
 	}
 	conf = withDiscovered(w, svc, conf)
@@ -240,8 +241,8 @@
 	}
 	held := svc.Backend(conf.ID)
 	if held == nil || !held.Config.SameProcess(&conf) {
-		// A server that joins a running service is cold: it gets a slow start.
-		// Where hosts pick directly, the balancer knows about cold servers.
+		// A server that joins a running service is cold and gets a slow start.
+		// With direct picking, the load balancer handles cold servers.
 		state := world.BackendTrial
 		if w.DirectPicking {
 			state = world.BackendHealthy
--- a/internal/system/configsync/configsync.go
+++ b/internal/system/configsync/configsync.go
@@ -1,7 +1,7 @@
-// Package configsync brings the platform's documents to every host and never
-// goes back to an older revision. A few readers in each data centre watch the
-// platform; the others hear of a new revision by gossip and fetch the document
-// from their parent in a tree over the hosts of their data centre.
+// Package configsync distributes the platform's documents to every host and
+// never reverts to an older revision. A few readers in each data centre watch
+// the platform. The other hosts learn of new revisions through gossip and fetch
+// the documents along a tree over the hosts of their data centre.
 package configsync
 
 import (
@@ -19,97 +19,101 @@
 )
 
 const (
-	// FetchRetry is how long one fetch may take before another is started. A
-	// parent that does not have the document yet is asked again after it.
+	// FetchRetry is the time after which an unanswered fetch is repeated, and a
+	// parent that does not have the document yet is asked again.
 	FetchRetry = 200 * time.Millisecond
-	// FirstFetchRetry is the same for a document that this host holds no revision of:
-	// where all hosts start at once, hosts with a small part of a core take that long for
-	// it, and asking again makes them slower.
+	// FirstFetchRetry applies instead to a document of which this host holds no revision.
+	// If all hosts start at once, hosts with a fraction of a core take that long to answer,
+	// and retries slow them down further.
 	FirstFetchRetry = 1500 * time.Millisecond
-	// PeerTimeout is how long one host may take to answer with a change, before the next
-	// one of a fetch is asked, FirstPeerTimeout the same for a whole document: the list of
-	// thousands of servers takes a small host that long to write, send and read.
+	// PeerTimeout is the time a peer may take to answer with a delta before the next peer
+	// is asked. FirstPeerTimeout applies to full documents: a small host takes that long to
+	// encode, send and decode a list of thousands of servers.
 	PeerTimeout      = 500 * time.Millisecond
 	FirstPeerTimeout = 1500 * time.Millisecond
-	// DocumentWait is how long an asker waits for a document that the host it asks is
-	// fetching itself, which looks for it each DocumentRecheck: it asks again after
-	// FetchRetry. At a start of all hosts each step of the tree then takes one fetch
-	// instead of a retry.
+	// DocumentWait is the time for which a request is held while the asked host is itself
+	// fetching the document, which it checks for every DocumentRecheck. It is shorter than
+	// FetchRetry, after which the caller asks again. When all hosts start at once, each
+	// level of the tree then takes one fetch instead of a retry.
 	DocumentWait    = 150 * time.Millisecond
 	DocumentRecheck = 10 * time.Millisecond
-	// ChangeGap is the least time between two revisions of a document that a host fetches
-	// from others: backend servers that start together make hundreds of revisions within two
-	// seconds, each of which costs a host processor time by the number of servers.
-	ChangeGap = 200 * time.Millisecond
-	// OthersReadFor is for how long after its start a host that has heard of others with
-	// documents leaves it to them to ask the platform for one that nobody has yet; then
-	// readers are chosen.
-	OthersReadFor = 2 * time.Second
-	// AloneFor is for how long after its start a host that hears no other waits for one before it
-	// asks the platform: a small host that starts with all others takes that long to hear of them.
-	AloneFor = 500 * time.Millisecond
-	// AskAgainAfter is the pause after a fetch that brought nothing.
-	AskAgainAfter = 50 * time.Millisecond
-	// HolderAfter fetches from the parent without success, the announced holder
-	// is asked instead; AnyAfter fetches from a holder, any host; PlatformAfter,
-	// the platform.
-	HolderAfter   = 2
-	AnyAfter      = 2
-	PlatformAfter = 10
-	// DirectAfter is when a new host without an index asks the platform
-	// itself, spread over DirectSpread so that a restarted fleet does not ask
-	// all at once.
+	// MinFetchInterval is the minimum time from applying a revision to the next fetch.
+	// Backend servers that start together cause hundreds of revisions within two seconds,
+	// and the processor time for each grows with the number of servers.
+	MinFetchInterval = 200 * time.Millisecond
+	// DeferToReadersFor is the time after its start for which a host that knows of peers
+	// with documents leaves it to them to request missing documents from the platform.
+	// Readers have been chosen by then.
+	DeferToReadersFor = 2 * time.Second
+	// PeerDiscoveryWait is the time after its start for which a host without known peers waits
+	// before it asks the platform. A small host that starts together with all others takes that
+	// long to discover them.
+	PeerDiscoveryWait = 500 * time.Millisecond
+	// FailedFetchPause is the pause after a fetch that returned no document.
+	FailedFetchPause = 50 * time.Millisecond
+	// The sources of a fetch depend on the number of attempts since the last
+	// success: the parent in the tree up to ParentAttempts, then the announced
+	// holder, after HolderAttempts any other host too, and after PeerAttempts the
+	// platform.
+	ParentAttempts = 2
+	HolderAttempts = 2
+	PeerAttempts   = 10
+	// DirectAfter is the time after which a new host without an index asks the
+	// platform itself, spread over DirectSpread so that the hosts of a restarted
+	// fleet do not ask at the same time.
 	DirectAfter  = 2 * time.Second
 	DirectSpread = 3 * time.Second
-	// RepeatDirectAfter is the least pause between two such reads. Readers are
-	// chosen after 1 s and pass on what the platform then has: where a whole fleet
-	// starts before its first configuration is published, each host would ask for
-	// it again and again.
-	RepeatDirectAfter = time.Second
-	// PollEvery is how often every host of a fleet of up to PollHosts asks the
-	// platform for its index, in case all readers are cut off from it. Larger
-	// fleets ask less often, so that the fleet's rate does not grow.
-	PollEvery = 60 * time.Second
-	PollHosts = 40
+	// MinDirectInterval is the minimum interval between two such reads. Readers
+	// are chosen after 1 s and distribute what the platform then has. Without the
+	// limit, all hosts of a fleet that starts before its first configuration is
+	// published would poll the platform continuously.
+	MinDirectInterval = time.Second
+	// PollInterval is the mean interval at which each host of a fleet of up to
+	// PollHosts polls the platform, in case all readers are cut off from it. In
+	// larger fleets hosts poll less often, so that the total rate does not grow.
+	PollInterval = 60 * time.Second
+	PollHosts    = 40
 
 	treeFanout = 4
-	// seedStream keeps this system's random choices apart from others'.
+	// seedStream separates this system's random numbers from those of other systems.
 	seedStream = 64
 )
 
 // Config of a System.
 type Config struct {
-	// Seed of the random choices.
+	// Seed of the random number generator.
 	Seed uint64
-	// DirectAfter is when a new host that holds no configuration asks the
-	// platform itself, spread over DirectSpread. Sooner is ready sooner and
-	// costs reads when the whole fleet restarts.
+	// DirectAfter is the time after which a new host without a configuration
+	// asks the platform itself, spread over DirectSpread. Lower values make a
+	// host ready sooner but cost platform reads when the whole fleet restarts.
 	DirectAfter  time.Duration
 	DirectSpread time.Duration
-	// First is set on hosts that others know from their settings: they ask the platform
-	// at once, and the others DirectSpread later, when they may have heard of them.
+	// First is set on hosts that others know from their settings. They wait only
+	// DirectAfter before they ask the platform. Other hosts wait at least
+	// DirectSpread longer, by when they may have discovered one of these.
 	First bool
-	// StandIn lets hosts stand in for a reader that is not heard or gets no
-	// answers. Without it, readers change with the membership only.
+	// StandIn enables failover: hosts take over from a reader that sends no
+	// heartbeats or gets no answers. Without it, readers change with the
+	// membership only.
 	StandIn bool
 }
 
-// System is the document step.
+// System is the document distribution step of a tick.
 type System struct {
 	conf     Config
 	rng      *rand.Rand
 	directAt time.Time
 	nextPoll time.Time
-	standIn  takeOver
+	failover readerFailover
 }
 
 // New returns a system that starts at now.
 func New(now time.Time, conf Config) *System {
 	rng := rand.New(rand.NewPCG(conf.Seed, seedStream))
 	s := &System{conf: conf, rng: rng}
-	s.directAt = now.Add(conf.DirectAfter + s.firstSpread())
-	s.nextPoll = now.Add(jitter(rng, PollEvery))
-	s.standIn = takeOver{heard: now.Add(startGrace), fresh: now}
+	s.directAt = now.Add(conf.DirectAfter + s.initialReadDelay())
+	s.nextPoll = now.Add(jitter(rng, PollInterval))
+	s.failover = readerFailover{lastHeartbeat: now.Add(startGrace), lastReaderAnswer: now}
 	return s
 }
 
@@ -120,31 +124,31 @@
 	return time.Duration(rng.Int64N(int64(d)))
 }
 
-// crowd is the number of hosts up to which few ask the platform at a start of all at
-// once.
-const crowd = 1000
+// suppressionFleetSize is the fleet size up to which only few hosts ask the platform when all
+// start at once.
+const suppressionFleetSize = 1000
 
-// firstSpread draws how much later than DirectAfter a new host asks the platform itself.
-// Few draw an early time, each next moment more: those that ask first tell the others
-// before these ask, whatever their number (timer suppression, as in Nonnenmacher and
-// Biersack, "Optimal multicast feedback", 1998).
-func (s *System) firstSpread() time.Duration {
+// initialReadDelay draws a random delay, in addition to DirectAfter, after which a new host
+// asks the platform itself. The density grows exponentially with the delay: few hosts draw a
+// short one, and these announce the documents before the others ask, whatever the fleet size
+// (timer suppression, as in Nonnenmacher and Biersack, "Optimal multicast feedback", 1998).
+func (s *System) initialReadDelay() time.Duration {
 	if s.conf.First || s.conf.DirectSpread <= 0 {
 		return 0
 	}
-	part := math.Log(1+s.rng.Float64()*(crowd-1)) / math.Log(crowd)
+	part := math.Log(1+s.rng.Float64()*(suppressionFleetSize-1)) / math.Log(suppressionFleetSize)
 	return s.conf.DirectSpread + time.Duration(part*float64(s.conf.DirectSpread))
 }
 
-// IsReader reports whether this host watches the platform. A new host
-// knows few others and would often be one: a restarted fleet would then
-// read everything once a host.
+// IsReader reports whether this host watches the platform. A host that has not
+// settled is no reader: it knows few others and would often be chosen, so that
+// after a restart of the fleet every host would read all documents.
 func IsReader(w *world.World) bool {
 	return w.Settled && (w.StandsIn || slices.Contains(w.Readers, w.Self.Host))
 }
 
-// Active reports whether something of this system goes by the next tick: this host
-// reads the platform, or a fetch is under way.
+// Active reports whether the system has work at the next tick: this host is a reader, or a
+// fetch is in progress.
 func Active(w *world.World, now time.Time) bool {
 	if IsReader(w) {
 		return true
@@ -159,17 +163,17 @@
 
 // Run starts the fetches that are due.
 func (s *System) Run(w *world.World, now time.Time) {
-	dropAbsent(w, now)
-	s.chooseReader(w, now)
-	s.followHeads(w, now)
-	s.followIncomplete(w, now)
-	s.followIndex(w, now)
+	removeExpired(w, now)
+	s.updateReaderRole(w, now)
+	s.fetchAnnounced(w, now)
+	s.refetchIncomplete(w, now)
+	s.fetchListedShards(w, now)
 	s.poll(w, now)
-	s.beat(w, now)
+	s.sendHeartbeat(w, now)
 }
 
-// followHeads fetches what peers have announced.
-func (s *System) followHeads(w *world.World, now time.Time) {
+// fetchAnnounced fetches documents whose revisions peers have announced.
+func (s *System) fetchAnnounced(w *world.World, now time.Time) {
 	for _, r := range w.Registers.Prefix(headPrefix) {
 		head := &peerpb.Head{}
 		if proto.Unmarshal(r.Value, head) != nil {
@@ -177,27 +181,27 @@
 		}
 		doc := w.Document(head.Key)
 		if doc.Lacks(head.Revision) {
-			s.fetch(w, now, doc, fetchPlan{holder: head.Holder})
+			s.fetch(w, now, doc, fetchSource{holder: head.Holder})
 		}
 	}
 }
 
-// followIndex fetches the shards whose listed revision is newer, on readers,
-// and on hosts that hear nothing from readers.
-func (s *System) followIndex(w *world.World, now time.Time) {
+// fetchListedShards fetches the shards for which the index lists a newer revision,
+// on readers and on hosts that may read the platform directly.
+func (s *System) fetchListedShards(w *world.World, now time.Time) {
 	if !IsReader(w) && now.Before(s.directAt) {
 		return
 	}
 	for _, doc := range Wanted(w) {
-		// What the index names is on the platform, unless that is stale.
-		s.fetch(w, now, doc, fetchPlan{platform: doc.Attempts%2 == 0})
+		// The platform has the documents that the index lists, unless it is stale.
+		s.fetch(w, now, doc, fetchSource{platform: doc.Attempts%2 == 0})
 	}
 }
 
-// Current reports whether this host holds the newest revision of every
-// document that it has heard of, from the index or from peers.
+// Current reports whether this host holds the newest revision that it knows of,
+// from the index or from peers, of every document.
 func Current(w *world.World) bool {
-	if lacksRequired(w) || len(Wanted(w)) > 0 {
+	if missesRequired(w) || len(Wanted(w)) > 0 {
 		return false
 	}
 	for _, r := range w.Registers.Prefix(headPrefix) {
@@ -209,9 +213,9 @@
 	return true
 }
 
-// lacksRequired reports whether a document is missing without which a host
-// cannot serve.
-func lacksRequired(w *world.World) bool {
+// missesRequired reports whether a document that a host needs to serve requests
+// is missing.
+func missesRequired(w *world.World) bool {
 	return slices.ContainsFunc(w.Required, func(key string) bool {
 		if key == world.KeyIndex {
 			return w.Index == nil
@@ -220,7 +224,7 @@
 	})
 }
 
-// Wanted returns the documents that are older than the index says.
+// Wanted returns the documents for which the index lists a newer revision.
 func Wanted(w *world.World) []*world.Document {
 	if w.Index == nil {
 		return nil
@@ -235,82 +239,83 @@
 	return wanted
 }
 
-// poll asks the platform directly, rarely, and early only without an index.
+// poll asks the platform directly: early while required documents are missing,
+// otherwise at long intervals.
 func (s *System) poll(w *world.World, now time.Time) {
-	if lacksRequired(w) && !now.Before(s.directAt) {
-		if early := w.StartedAt.Add(AloneFor); s.conf.StandIn && !s.conf.First && len(w.Hosts) <= 1 && now.Before(early) {
-			s.directAt = early // others may be heard by then
+	if missesRequired(w) && !now.Before(s.directAt) {
+		if discoveryEnd := w.StartedAt.Add(PeerDiscoveryWait); s.conf.StandIn && !s.conf.First && len(w.Hosts) <= 1 && now.Before(discoveryEnd) {
+			s.directAt = discoveryEnd // other hosts may be discovered by then
 			return
 		}
-		s.directAt = now.Add(max(s.conf.DirectAfter, RepeatDirectAfter) + jitter(s.rng, s.conf.DirectSpread))
+		s.directAt = now.Add(max(s.conf.DirectAfter, MinDirectInterval) + jitter(s.rng, s.conf.DirectSpread))
 		for _, key := range w.Polled {
-			if s.leavesToReaders(w, key) {
+			if s.defersToReaders(w, key) {
 				continue
 			}
-			if doc := w.Document(key); doc.Revision == 0 && !s.fromPeers(w, now, doc) {
+			if doc := w.Document(key); doc.Revision == 0 && !s.availableFromPeers(w, now, doc) {
 				w.Out.Fetches = append(w.Out.Fetches, world.Fetch{Key: key, Platform: true})
 			}
 		}
 		return
 	}
-	// Where hosts stand in for readers, one that hears none reads anyway: polls of all hosts,
-	// each of the whole list of servers, would only add calls.
+	// With reader failover, a host that hears no reader becomes one. Polls by all hosts, each for
+	// the full list of servers, would only add calls.
 	if s.conf.StandIn || now.Before(s.nextPoll) {
 		return
 	}
-	every := pollEvery(len(w.Hosts))
+	every := pollInterval(len(w.Hosts))
 	s.nextPoll = now.Add(every/2 + jitter(s.rng, every))
 	for _, key := range w.Polled {
 		w.Out.Fetches = append(w.Out.Fetches, world.Fetch{Key: key, After: w.Document(key).Revision, Platform: true})
 	}
 }
 
-// leavesToReaders reports whether this host gets a document from those that read it, or reads it
-// itself only in the place of a reader that is not heard: the list of thousands of servers takes
-// the platform some megabytes for each host. A host that hears no other reads it itself.
-func (s *System) leavesToReaders(w *world.World, key string) bool {
+// defersToReaders reports whether this host leaves reading a document from the platform to
+// readers, including itself after a failover: a list of thousands of servers costs the platform
+// several megabytes per host. A host that knows no other reads the document itself.
+func (s *System) defersToReaders(w *world.World, key string) bool {
 	return key == world.KeyDiscovered && s.conf.StandIn && !s.conf.First && len(w.Hosts) > 1
 }
 
-// fromPeers reports whether a document that this host lacks is to be had from others:
-// one has announced it, or the platform has none yet and others look.
-func (s *System) fromPeers(w *world.World, now time.Time, doc *world.Document) bool {
-	if s.standIn.hearsReader && now.Sub(s.standIn.heard) <= silentAfter {
-		return true // a reader has it soon, or this host takes its place
+// availableFromPeers reports whether a missing document is expected from peers: a reader is
+// active, a peer has announced the document, or other hosts ask the platform for it.
+func (s *System) availableFromPeers(w *world.World, now time.Time, doc *world.Document) bool {
+	if s.failover.heardReader && now.Sub(s.failover.lastHeartbeat) <= heartbeatTimeout {
+		return true // a reader will have it soon, or this host takes over from the reader
 	}
 	if w.Registers.Stamp(HeadKey(doc.Key)) != nil {
-		return doc.Attempts <= HolderAfter
+		return doc.Attempts <= ParentAttempts
 	}
-	return !s.conf.First && len(w.Registers.Prefix(headPrefix)) > 0 && now.Sub(w.StartedAt) < OthersReadFor
+	return !s.conf.First && len(w.Registers.Prefix(headPrefix)) > 0 && now.Sub(w.StartedAt) < DeferToReadersFor
 }
 
-// fetchPlan says where to look for a document.
-type fetchPlan struct {
-	holder   string // host that announced it, may be empty
-	near     bool   // the holder is near and serves few: ask it first
-	platform bool   // ask the platform and no peer
+// fetchSource describes where to fetch a document from.
+type fetchSource struct {
+	holder      string // host that announced the document, may be empty
+	holderFirst bool   // ask the holder before the parent: it has capacity for all hosts of its data centre
+	platform    bool   // ask only the platform
 }
 
-// pollEvery stretches the period with the fleet.
-func pollEvery(hosts int) time.Duration {
-	return PollEvery * time.Duration(max(hosts, PollHosts)) / PollHosts
+// pollInterval returns the poll interval of each host, which grows with the fleet.
+func pollInterval(hosts int) time.Duration {
+	return PollInterval * time.Duration(max(hosts, PollHosts)) / PollHosts
 }
 
-func (s *System) fetch(w *world.World, now time.Time, doc *world.Document, plan fetchPlan) {
+func (s *System) fetch(w *world.World, now time.Time, doc *world.Document, source fetchSource) {
 	if now.Before(doc.Fetching) {
 		return
 	}
 	doc.Fetching = now.Add(retryAfter(doc))
 	doc.Attempts++
-	f := world.Fetch{Key: doc.Key, After: doc.Held(), Platform: plan.platform || doc.Attempts > PlatformAfter}
-	if !plan.platform {
-		f.Peers = s.sources(w, doc, plan)
+	f := world.Fetch{Key: doc.Key, After: doc.Held(), Platform: source.platform || doc.Attempts > PeerAttempts}
+	if !source.platform {
+		f.Peers = s.peerAddresses(w, doc, source)
 	}
 	f.Platform = f.Platform || len(f.Peers) == 0
 	w.Out.Fetches = append(w.Out.Fetches, f)
 }
 
-// TimeoutOf is how long one host may take to answer a fetch.
+// TimeoutOf returns the time that one peer may take to answer a fetch.
 func TimeoutOf(f world.Fetch) time.Duration {
 	if f.After == 0 {
 		return FirstPeerTimeout
@@ -325,40 +330,40 @@
 	return FetchRetry
 }
 
-// FetchedNothing notes that a fetch ended without the document.
+// FetchedNothing records that a fetch ended without a document.
 func FetchedNothing(w *world.World, now time.Time, key string) {
-	if doc := w.Document(key); doc.Fetching.After(now.Add(AskAgainAfter)) {
-		doc.Fetching = now.Add(AskAgainAfter)
+	if doc := w.Document(key); doc.Fetching.After(now.Add(FailedFetchPause)) {
+		doc.Fetching = now.Add(FailedFetchPause)
 	}
 }
 
-// sources returns the parent in the tree, and the holder where the tree gives
-// no parent or the parent gives nothing. Readers ask the holder, so that the
-// holder serves the readers only; so do hosts that hold nothing yet, if their parent does
-// not either. A holder may have been replaced and have forgotten the document: later
-// attempts ask any other host too.
-func (s *System) sources(w *world.World, doc *world.Document, plan fetchPlan) []string {
+// peerAddresses returns the peers to ask, in order. Non-readers ask their parent in the tree,
+// so that the holder serves only readers. The holder is asked by hosts without a parent, after
+// ParentAttempts, and as the second choice by hosts of a small data centre that hold no
+// revision yet. Since a holder may have been replaced and have lost the document, attempts
+// after HolderAttempts include a random other host.
+func (s *System) peerAddresses(w *world.World, doc *world.Document, source fetchSource) []string {
 	var addresses []string
-	if above := parent(w, doc.Key); above != nil && doc.Attempts <= HolderAfter && !plan.near {
-		addresses = append(addresses, above.Address)
-		if doc.Revision > 0 || len(w.ReaderOrder) > nearReaderHosts {
-			return addresses // the holder cannot give the whole document to a large fleet
+	if upstream := parent(w, doc.Key); upstream != nil && doc.Attempts <= ParentAttempts && !source.holderFirst {
+		addresses = append(addresses, upstream.Address)
+		if doc.Revision > 0 || len(w.ReaderOrder) > minDirectFetchers {
+			return addresses // the holder cannot serve the full document to a large fleet
 		}
 	}
-	if h, ok := w.Hosts[plan.holder]; ok && plan.holder != w.Self.Host && h.Live() && !slices.Contains(addresses, h.Address) {
+	if h, ok := w.Hosts[source.holder]; ok && source.holder != w.Self.Host && h.Live() && !slices.Contains(addresses, h.Address) {
 		addresses = append(addresses, h.Address)
 	}
-	if len(addresses) == 0 || doc.Attempts > AnyAfter {
-		addresses = append(addresses, s.anyOther(w)...)
+	if len(addresses) == 0 || doc.Attempts > HolderAttempts {
+		addresses = append(addresses, s.randomOtherHost(w)...)
 	}
-	if doc.Attempts > AnyAfter && doc.Attempts%2 == 1 { // the holder may hang as the parent did
+	if doc.Attempts > HolderAttempts && doc.Attempts%2 == 1 { // the holder may hang like the parent
 		slices.Reverse(addresses)
 	}
 	return addresses
 }
 
-// anyOther returns the address of a random live host, if there is another.
-func (s *System) anyOther(w *world.World) []string {
+// randomOtherHost returns the address of a random other live host, if there is one.
+func (s *System) randomOtherHost(w *world.World) []string {
 	var live []string
 	for _, name := range w.HostNames() {
 		if name != w.Self.Host && w.Hosts[name].Live() {
@@ -371,22 +376,24 @@
 	return []string{live[s.rng.IntN(len(live))]}
 }
 
-// servesHosts is how many hosts can get a document from one host at a time.
-func servesHosts(w *world.World, host string) int {
+// maxFetchers returns how many hosts may fetch a document from a host at the same time.
+func maxFetchers(w *world.World, host string) int {
 	h, ok := w.Hosts[host]
 	if !ok {
 		return 0
 	}
-	return max(nearReaderHosts, int(h.Capacity)/capacityPerHost)
+	return max(minDirectFetchers, int(h.Capacity)/capacityPerFetcher)
 }
 
-// parent returns the host above this one in the key's tree: the readers of the
-// data centre at the root, then the other hosts in rank order.
+// parent returns the parent of this host in the distribution tree of a key, or nil
+// for none. The readers of the data centre are the roots, followed by the other
+// hosts in rank order. If the first reader can serve the whole data centre, it is
+// the parent of all other hosts.
 func parent(w *world.World, key string) *world.Host {
 	if IsReader(w) {
 		return nil
 	}
-	if len(w.Readers) > 0 && w.Readers[0] != w.Self.Host && len(w.ReaderOrder) <= servesHosts(w, w.Readers[0]) {
+	if len(w.Readers) > 0 && w.Readers[0] != w.Self.Host && len(w.ReaderOrder) <= maxFetchers(w, w.Readers[0]) {
 		return w.Hosts[w.Readers[0]]
 	}
 	order := slices.Clone(w.Readers)
@@ -402,9 +409,8 @@
 	if position < len(w.Readers) || len(w.Readers) == 0 {
 		return nil
 	}
-	above := max((position-len(w.Readers))/treeFanout, 0)
-	return w.Hosts[order[above]]
+	parentIndex := max((position-len(w.Readers))/treeFanout, 0)
+	return w.Hosts[order[parentIndex]]
 }
 
-// Interface guard.
 var _ world.System = (*System)(nil)
--- a/internal/system/configsync/configsync_test.go
+++ b/internal/system/configsync/configsync_test.go
@@ -17,30 +17,31 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// documents arrive in any order, good and bad ones, from any source.
-func arrive(t *rapid.T, w *world.World, revision uint64) {
+// deliver delivers a revision of a document. Every fifth revision is invalid.
+func deliver(t *rapid.T, w *world.World, revision uint64) {
 	raw := fmt.Sprintf("services:\n- name: s\n  floor: 0\n  queue: %d\n", revision)
-	if revision%5 == 0 { // every fifth revision is a bad document
+	if revision%5 == 0 {
 		raw = "services:\n- nam: s\n"
 	}
 	configsync.Accept(w, epoch, "services/a", revision, []byte(raw))
 }
 
-func TestRevisionNeverFalls(t *testing.T) {
+// Valid and invalid revisions arrive in any order; the applied one never decreases.
+func TestRevisionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := world.New(world.Identity{Host: "h"}, &hlc.Clock{}, epoch)
 		highest, queue := uint64(0), 0
 		for _, revision := range rapid.SliceOfN(rapid.Uint64Range(1, 60), 1, 40).Draw(t, "revisions") {
-			arrive(t, w, revision)
+			deliver(t, w, revision)
 			if revision%5 != 0 && revision > highest {
 				highest = revision
 			}
 			if got := w.Document("services/a").Revision; got != highest {
-				t.Fatalf("revision %d in force, want %d", got, highest)
+				t.Fatalf("revision %d is applied, want %d", got, highest)
 			}
 			if svc, ok := w.Services["s"]; ok {
 				if svc.Config.Queue < queue {
-					t.Fatalf("content fell from %d to %d", queue, svc.Config.Queue)
+					t.Fatalf("applied content went back from revision %d to %d", queue, svc.Config.Queue)
 				}
 				queue = svc.Config.Queue
 			}
@@ -48,9 +49,9 @@
 	})
 }
 
-// A restarted host that is itself named as the holder of a document has
-// forgotten it and must ask others.
-func TestForgottenDocumentIsFetchedFromOthers(t *testing.T) {
+// A restarted host is still announced as the holder of a document that it has
+// lost, and must fetch it from other hosts.
+func TestLostDocumentIsFetchedFromOtherHosts(t *testing.T) {
 	w := world.New(world.Identity{Host: "h1", DataCentre: "dc1"}, &hlc.Clock{}, epoch)
 	for _, name := range []string{"h1", "h2", "h3"} {
 		w.Hosts[name] = &world.Host{Name: name, Address: name + ":1", DataCentre: "dc1"}
@@ -75,12 +76,12 @@
 		}
 	}
 	if !asked["h2:1"] || !asked["h3:1"] || asked["h1:1"] {
-		t.Fatalf("asked %v, want both other hosts", asked)
+		t.Fatalf("asked %v, want exactly the two other hosts", asked)
 	}
 }
 
-// polls counts the calls to the platform of a fleet of n hosts in an hour, by
-// those of one host that is no reader.
+// polls returns the platform calls per hour of a fleet of n hosts, extrapolated
+// from those of one non-reader.
 func polls(n int) float64 {
 	w := world.New(world.Identity{Host: "h0", DataCentre: "dc1"}, &hlc.Clock{}, epoch)
 	w.Index = &config.Index{}
@@ -102,14 +103,14 @@
 func TestPlatformCallsDoNotGrowWithTheFleet(t *testing.T) {
 	small, large := polls(40), polls(1100)
 	if large > 1.5*small {
-		t.Fatalf("%.0f calls an hour by 1,100 hosts, %.0f by 40", large, small)
+		t.Fatalf("%.0f platform calls per hour from 1,100 hosts, %.0f from 40", large, small)
 	}
 }
 
-// A host that holds one of its documents asks the platform for the other only,
-// and not more than once a second: a whole fleet may start before its first
-// configuration is published.
-func TestOnlyMissingDocumentsAreAskedFor(t *testing.T) {
+// A host that holds one of two required documents requests only the other from
+// the platform, and at most about once per second, since a whole fleet may start
+// before its first configuration is published.
+func TestOnlyMissingDocumentsAreRequested(t *testing.T) {
 	w := world.New(world.Identity{Host: "h0", DataCentre: "dc1"}, &hlc.Clock{}, epoch)
 	w.Required = []string{"held", "missing"}
 	w.Polled = w.Required
@@ -123,6 +124,6 @@
 		}
 	}
 	if asked["held"] > 0 || asked["missing"] < 3 || asked["missing"] > 6 {
-		t.Errorf("asked %v in 5 s, want the missing document about 5 times and no other", asked)
+		t.Errorf("requests in 5 s: %v, want about 5 for the missing document and no others", asked)
 	}
 }
--- a/internal/system/configsync/discovered.go
+++ b/internal/system/configsync/discovered.go
@@ -14,10 +14,9 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// The list of registered backend servers is kept in step by changes: at thousands of servers
-// the whole list, for each host at each change, would grow with the cube of the fleet.
-
-// applyDiscovered takes a whole list of the registered backend servers or a change to it.
+// applyDiscovered applies a full list of the registered backend servers or a delta to it. The
+// list is replicated by deltas because, with thousands of servers, the cost of sending it in
+// full to each host at each change would grow with the cube of the fleet.
 func applyDiscovered(w *world.World, now time.Time, doc *world.Document, revision uint64, raw []byte) error {
 	list, faults, err := config.ParseDiscovered(raw)
 	if err != nil {
@@ -38,65 +37,65 @@
 	applyUpdates(w, now, updates, time.Duration(list.AbsenceGrace))
 	applyEvacuated(w, now, list.Evacuated)
 	if list.Base == 0 {
-		return nil // nothing else could be asked for
+		return nil // a full list cannot be replaced by a more complete one
 	}
 	return err
 }
 
-// isIncomplete reports whether a change did not fit what is held.
+// isIncomplete reports whether an error means that a delta did not fit the local list.
 func isIncomplete(err error) bool {
 	var gap registry.GapError
 	var digest registry.DigestError
 	return errors.As(err, &gap) || errors.As(err, &digest)
 }
 
-// noteIncomplete asks for the whole document.
-func noteIncomplete(w *world.World, now time.Time, doc *world.Document, cause error) {
+// markIncomplete marks a document of which the full content must be fetched.
+func markIncomplete(w *world.World, now time.Time, doc *world.Document, cause error) {
 	doc.Incomplete = true
 	w.Record(now, event.ListIncomplete, "", "", doc.Key+": "+cause.Error())
 }
 
-// followIncomplete fetches documents of which a change did not fit, also where nobody
-// announces them.
-func (s *System) followIncomplete(w *world.World, now time.Time) {
+// refetchIncomplete fetches incomplete documents in full, even if no host announces them.
+func (s *System) refetchIncomplete(w *world.World, now time.Time) {
 	for _, key := range w.Required {
 		if doc := w.Document(key); doc.Incomplete {
-			s.fetch(w, now, doc, fetchPlan{platform: IsReader(w)})
+			s.fetch(w, now, doc, fetchSource{platform: IsReader(w)})
 		}
 	}
 }
 
-// applyUpdates brings the services up to date.
+// applyUpdates applies changes of registered backend servers to the services.
 func applyUpdates(w *world.World, now time.Time, updates []registry.Update, grace time.Duration) {
 	if !w.Platform.MayHaveLapsed(now) {
 		grace = 0
 	}
-	touched := make(map[string][]replacement)
+	byService := make(map[string][]replacement)
 	for _, u := range updates {
 		if u.Before != nil && (u.After == nil || u.After.Service != u.Before.Service) {
 			name := u.Before.Service
-			if u.After != nil || !keepAbsent(w, now, u.Before, grace) {
-				touched[name] = append(touched[name], replacement{id: u.ID})
+			if u.After != nil || !retainAbsent(w, now, u.Before, grace) {
+				byService[name] = append(byService[name], replacement{id: u.ID})
 			}
 		}
 		if u.After != nil {
 			name := u.After.Service
 			delete(w.Absent, u.ID)
-			touched[name] = append(touched[name], replacement{id: u.ID, backend: &u.After.Backend})
+			byService[name] = append(byService[name], replacement{id: u.ID, backend: &u.After.Backend})
 		}
 	}
-	for name, replaced := range touched {
+	for name, replaced := range byService {
 		replaceBackends(w, now, name, replaced)
 	}
 }
 
-// replacement is the new row of a backend server, nil for none.
+// replacement is the new configuration of a backend server, nil if it is removed.
 type replacement struct {
 	id      string
 	backend *config.Backend
 }
 
-// replaceBackends gives some servers of a service, ordered by ID, new rows.
+// replaceBackends replaces, adds or removes servers of a service. The replacements are ordered
+// by ID.
 func replaceBackends(w *world.World, now time.Time, service string, replaced []replacement) {
 	w.Discovered[service] = merge(w.Discovered[service], replaced,
 		func(held config.Backend) string { return held.ID },
@@ -117,7 +116,7 @@
 	w.Services[service] = &svc
 }
 
-// merge returns rows, which are ordered by ID, with some replaced, added or left out.
+// merge returns held, which is ordered by ID, with the replacements applied.
 func merge[T any](held []T, replaced []replacement, idOf func(T) string, row func(config.Backend) T) []T {
 	next := make([]T, 0, len(held)+len(replaced))
 	for _, r := range replaced {
@@ -134,7 +133,7 @@
 	return append(next, held...)
 }
 
-// applyEvacuated takes which data centres' servers get no requests.
+// applyEvacuated sets the data centres whose servers get no requests.
 func applyEvacuated(w *world.World, now time.Time, evacuated []string) {
 	next := slices.Compact(slices.Sorted(slices.Values(evacuated)))
 	if slices.Equal(next, w.Evacuated) {
@@ -156,7 +155,7 @@
 	}
 }
 
-// describeEvacuation names the servers that get no more requests, by service.
+// describeEvacuation returns the number of evacuated servers by service.
 func describeEvacuation(w *world.World, dataCentre string) string {
 	var parts []string
 	for _, name := range w.ServiceNames() {
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -62,8 +62,8 @@
 mutant "peers' score" internal/system/detection/score.go 's/peerFactor = 3/peerFactor = 0/' ./experiment/detection -run NoFalse
 mutant "gossip reaches all" internal/gossip/queue.go "s/extraTransmits = 8/extraTransmits = 0/" ./internal/membership
 mutant "asking ends" internal/claims/coordinator.go "s/time.Now().After(giveUp)/giveUp.IsZero()/" ./internal/claims
-mutant "stand-in for a silent reader" internal/system/configsync/takeover.go 's/silent > silentAfter/silent > time.Hour/' ./internal/system/configsync
-mutant "stand-in for a stale reader" internal/system/configsync/takeover.go 's/stale > due/stale > due+time.Hour/' ./internal/system/configsync
+mutant "stand-in for a silent reader" internal/system/configsync/failover.go 's/silent > heartbeatTimeout/silent > time.Hour/' ./internal/system/configsync
+mutant "stand-in for a stale reader" internal/system/configsync/failover.go 's/stale > due/stale > due+time.Hour/' ./internal/system/configsync
 mutant "grace for lapsed registrations" internal/system/configsync/absence.go 's/if grace <= 0 || b.Leaving {/if true {/' ./internal/system/configsync
 mutant "a change that does not fit" internal/registry/registry.go 's/if list.Base > t.revision {/if false {/' ./internal/registry
 mutant "a digest that differs" internal/registry/registry.go 's/list.Digest != 0 \&\& list.Digest != t.digest/false/' ./internal/registry
@@ -78,8 +78,8 @@
 mutant "servers that join" internal/policy/breadth.go 's/func (s \*server) isUntried() bool { return .* }/func (s *server) isUntried() bool { return false }/' ./internal/policy -run Joins
 mutant "servers that are met are not new" internal/policy/table.go 's/return !view.JoinedAt.IsZero() \&\& now.Sub(view.JoinedAt) < newFor/return true/' ./internal/policy -run NewServersAreTrusted
 mutant "requests with little time" internal/policy/patience.go 's/return shortest > 0 \&\& queue/return false \&\& queue/' ./experiment/replay -run LittleTime
-mutant "hosts wait for a reader that lists" internal/system/configsync/configsync.go 's/if s.standIn.hearsReader \&\& now.Sub(s.standIn.heard) <= silentAfter {/if false {/' ./experiment/loops -run LongList
-mutant "readers are heard before their first answer" internal/system/configsync/takeover.go 's/if !s.conf.StandIn || !IsReader(w) {/if !s.conf.StandIn || !IsReader(w) || s.standIn.answered.IsZero() {/' ./internal/system/configsync -run UnansweredReader
+mutant "hosts wait for a reader that lists" internal/system/configsync/configsync.go 's/if s.failover.heardReader \&\& now.Sub(s.failover.lastHeartbeat) <= heartbeatTimeout {/if false {/' ./experiment/loops -run LongList
+mutant "readers are heard before their first answer" internal/system/configsync/failover.go 's/if !s.conf.StandIn || !IsReader(w) {/if !s.conf.StandIn || !IsReader(w) || s.failover.lastOwnAnswer.IsZero() {/' ./internal/system/configsync -run UnansweredReader
 mutant "comparisons stay near" internal/membership/config.go 's/farComparisons = 8$/farComparisons = 1/' ./internal/membership -run ComparisonsStayNear
 mutant "bounded overflow" internal/policy/pick.go 's/	overflowSample = 128$/	overflowSample = 100000/' ./internal/policy -run Overflow
 mutant "late reports" internal/policy/report.go 's/if next.before(p.counts) {/if false {/' ./internal/policy
@@ -113,7 +113,7 @@
 mutant "trouble within a second" internal/policy/breadth.go 's/ || svc.manyUnserved(now, windowBuckets\/2)//' ./internal/policy
 mutant "new hosts ask again" internal/membership/probe.go 's/case l.Live() > youngSyncHosts:/case true:/' ./internal/membership
 mutant "missing documents only" internal/system/configsync/configsync.go 's/if w.Document(key).Revision == 0 {/if true {/' ./internal/system/configsync
-mutant "start grace" internal/system/configsync/configsync.go 's/heard: now.Add(startGrace)/heard: now/' ./internal/system/configsync
+mutant "start grace" internal/system/configsync/configsync.go 's/lastHeartbeat: now.Add(startGrace)/lastHeartbeat: now/' ./internal/system/configsync
 mutant "refusal after an owner broke off" internal/dispatch/forward.go 's/if x.written \&\& Outcome/if false \&\& Outcome/' ./internal/dispatch
 mutant "refusal here after an owner broke off" internal/dispatch/dispatch.go 's/refusal.Outcome == OutcomeNotRun \&\& x.written/false/' ./internal/dispatch
 mutant "young hosts spend their own" internal/policy/retries.go 's/if age < rule.Window \&\& /if false \&\& /' ./internal/policy
