--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -161,9 +161,9 @@
 		}
 		return len(raw)
 	}
-	few, many := size(60), size(6000)
-	if many > few*3/2 {
-		t.Errorf("delta has %d bytes among 6,000 servers, %d among 60", many, few)
+	small, large := size(60), size(6000)
+	if large > small*3/2 {
+		t.Errorf("delta has %d bytes among 6,000 servers, %d among 60", large, small)
 	}
 }
 
--- a/internal/system/configsync/apply.go
+++ b/internal/system/configsync/apply.go
@@ -84,7 +84,7 @@
 func applyRecovering(w *world.World, now time.Time, doc *world.Document, revision uint64, raw []byte) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			err = errs.New(errs.KindConfig, fmt.Sprintf("this host failed to read it: %v", cause), "publish an older version, and report the document")
+			err = errs.New(errs.KindConfig, fmt.Sprintf("panic while applying the document: %v", cause), "publish an older version, and report the document")
 		}
 	}()
 	if doc.Key == world.KeyDiscovered {
@@ -193,7 +193,7 @@
 	for i := range customers {
 		sharesKey := slices.ContainsFunc(customers[i].KeyDigests, func(digest string) bool { return keys[digest] })
 		if names[customers[i].Name] || sharesKey {
-			return errs.New(errs.KindConfig, fmt.Sprintf("customer %q or a key of it is in another document too", customers[i].Name), "declare each customer in one shard")
+			return errs.New(errs.KindConfig, fmt.Sprintf("customer %q or one of its keys is already declared in another document", customers[i].Name), "declare each customer in one shard")
 		}
 	}
 	return nil
--- a/internal/system/configsync/configsync.go
+++ b/internal/system/configsync/configsync.go
@@ -263,8 +263,8 @@
 	if s.conf.StandIn || now.Before(s.nextPoll) {
 		return
 	}
-	every := pollInterval(len(w.Hosts))
-	s.nextPoll = now.Add(every/2 + jitter(s.rng, every))
+	interval := hostPollInterval(len(w.Hosts))
+	s.nextPoll = now.Add(interval/2 + jitter(s.rng, interval))
 	for _, key := range w.Polled {
 		w.Out.Fetches = append(w.Out.Fetches, world.Fetch{Key: key, After: w.Document(key).Revision, Platform: true})
 	}
@@ -296,8 +296,8 @@
 	platform    bool   // ask only the platform
 }
 
-// pollInterval returns the poll interval of each host, which grows with the fleet.
-func pollInterval(hosts int) time.Duration {
+// hostPollInterval returns the poll interval of each host, which grows with the fleet.
+func hostPollInterval(hosts int) time.Duration {
 	return PollInterval * time.Duration(max(hosts, PollHosts)) / PollHosts
 }
 
--- a/internal/system/configsync/failover.go
+++ b/internal/system/configsync/failover.go
@@ -94,34 +94,34 @@
 	if !s.conf.StandIn {
 		return
 	}
-	stale := now.Sub(s.failover.lastReaderAnswer)
-	silent := now.Sub(s.failover.lastHeartbeat)
+	answerAge := now.Sub(s.failover.lastReaderAnswer)
+	heartbeatAge := now.Sub(s.failover.lastHeartbeat)
 	rank := slices.Index(w.ReaderOrder, w.Self.Host)
-	due := staleAfter + time.Duration(max(rank, 0))*staleRankDelay
+	takeOverAge := staleAfter + time.Duration(max(rank, 0))*staleRankDelay
 	switch {
-	case silent > heartbeatTimeout:
+	case heartbeatAge > heartbeatTimeout:
 		s.failover.active = true
-	case rank >= 0 && stale > due:
+	case rank >= 0 && answerAge > takeOverAge:
 		s.failover.active = true
-	case stale < staleAfter:
+	case answerAge < staleAfter:
 		s.failover.active = false
 	}
 	w.StandsIn = s.failover.active
-	s.recordRoleChange(w, now, silent, stale)
+	s.recordRoleChange(w, now, heartbeatAge, answerAge)
 }
 
 // recordRoleChange records an event when this host becomes a reader or ceases to be one.
-func (s *System) recordRoleChange(w *world.World, now time.Time, silent, stale time.Duration) {
-	reads := IsReader(w)
-	if reads == s.failover.wasReader {
+func (s *System) recordRoleChange(w *world.World, now time.Time, heartbeatAge, answerAge time.Duration) {
+	isReader := IsReader(w)
+	if isReader == s.failover.wasReader {
 		return
 	}
-	s.failover.wasReader = reads
+	s.failover.wasReader = isReader
 	switch {
-	case !reads:
+	case !isReader:
 		w.Record(now, event.ReadingEnded, "", "", "")
 	case w.StandsIn:
-		detail := fmt.Sprintf("took over: no reader heartbeat for %s, no platform answer at a reader for %s", silent.Round(time.Millisecond), stale.Round(time.Millisecond))
+		detail := fmt.Sprintf("took over: no reader heartbeat for %s, no platform answer at a reader for %s", heartbeatAge.Round(time.Millisecond), answerAge.Round(time.Millisecond))
 		w.Record(now, event.ReadingBegan, "", "", detail)
 	default:
 		w.Record(now, event.ReadingBegan, "", "", "reader")
--- a/internal/system/configsync/failover_test.go
+++ b/internal/system/configsync/failover_test.go
@@ -104,12 +104,12 @@
 	configsync.Accept(reader.world, reader.now, "services/a", 7, []byte("services: []\n"))
 	reader.world.Out.Take()
 	reader.system.Run(reader.world, reader.now)
-	beats := reader.world.Out.Take().Heartbeats
-	if len(beats) != 1 || len(beats[0].To) != 5 || beats[0].Datagram.Heads[0].Revision != 7 {
-		t.Fatalf("heartbeats %v, want one with revision 7 to five hosts", beats)
+	sent := reader.world.Out.Take().Heartbeats
+	if len(sent) != 1 || len(sent[0].To) != 5 || sent[0].Datagram.Heads[0].Revision != 7 {
+		t.Fatalf("heartbeats %v, want one with revision 7 to five hosts", sent)
 	}
 	other := newTestHost("h3")
-	d := beats[0].Datagram
+	d := sent[0].Datagram
 	d.From = "h0"
 	other.system.Heartbeat(other.world, other.now, d)
 	fetches := other.world.Out.Take().Fetches
@@ -147,12 +147,12 @@
 func TestUnansweredReaderSendsHeartbeats(t *testing.T) {
 	reader := newTestHost("h0")
 	reader.system.Run(reader.world, reader.now)
-	beats := reader.world.Out.Heartbeats
-	if len(beats) != 1 || !beats[0].Datagram.Unanswered {
-		t.Fatalf("heartbeats %v from a reader without an answer, want one marked as unanswered", beats)
+	sent := reader.world.Out.Heartbeats
+	if len(sent) != 1 || !sent[0].Datagram.Unanswered {
+		t.Fatalf("heartbeats %v from a reader without an answer, want one marked as unanswered", sent)
 	}
 	other := newTestHost("h5")
-	other.run(5*time.Second, func() *peerpb.Datagram { return beats[0].Datagram })
+	other.run(5*time.Second, func() *peerpb.Datagram { return sent[0].Datagram })
 	if configsync.IsReader(other.world) {
 		t.Error("a host becomes a reader although it receives heartbeats from a reader waiting for its first answer")
 	}
@@ -162,7 +162,7 @@
 		}
 	}
 	next := newTestHost("h1")
-	next.run(5*time.Second, func() *peerpb.Datagram { return beats[0].Datagram })
+	next.run(5*time.Second, func() *peerpb.Datagram { return sent[0].Datagram })
 	if !configsync.IsReader(next.world) {
 		t.Error("the next host in rank does not take over from a reader without an answer for 5 s")
 	}
--- a/internal/system/detection/vote.go
+++ b/internal/system/detection/vote.go
@@ -51,11 +51,11 @@
 	scheduleProbe(w, now, svc, b, RecoveryProbeInterval, timeout)
 }
 
-func scheduleProbe(w *world.World, now time.Time, svc *world.Service, b *world.BackendServer, every, timeout time.Duration) {
+func scheduleProbe(w *world.World, now time.Time, svc *world.Service, b *world.BackendServer, interval, timeout time.Duration) {
 	if now.Before(b.Detection.ProbeAt) {
 		return
 	}
-	b.Detection.ProbeAt = now.Add(every)
+	b.Detection.ProbeAt = now.Add(interval)
 	w.Out.Probes = append(w.Out.Probes, world.Probe{
 		Service: svc.Config.Name,
 		Backend: b.Config.ID,
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -62,8 +62,8 @@
 mutant "peers' score" internal/system/detection/score.go 's/peerFactor = 3/peerFactor = 0/' ./experiment/detection -run NoFalse
 mutant "gossip reaches all" internal/gossip/queue.go "s/extraTransmits = 8/extraTransmits = 0/" ./internal/membership
 mutant "asking ends" internal/claims/coordinator.go "s/time.Now().After(giveUp)/giveUp.IsZero()/" ./internal/claims
-mutant "stand-in for a silent reader" internal/system/configsync/failover.go 's/silent > heartbeatTimeout/silent > time.Hour/' ./internal/system/configsync
-mutant "stand-in for a stale reader" internal/system/configsync/failover.go 's/stale > due/stale > due+time.Hour/' ./internal/system/configsync
+mutant "stand-in for a silent reader" internal/system/configsync/failover.go 's/heartbeatAge > heartbeatTimeout/heartbeatAge > time.Hour/' ./internal/system/configsync
+mutant "stand-in for a stale reader" internal/system/configsync/failover.go 's/answerAge > takeOverAge/answerAge > takeOverAge+time.Hour/' ./internal/system/configsync
 mutant "grace for lapsed registrations" internal/system/configsync/absence.go 's/if grace <= 0 || b.Leaving {/if true {/' ./internal/system/configsync
 mutant "a change that does not fit" internal/registry/registry.go 's/if list.Base > t.revision {/if false {/' ./internal/registry
 mutant "a digest that differs" internal/registry/registry.go 's/list.Digest != 0 \&\& list.Digest != t.digest/false/' ./internal/registry
