--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -29,8 +29,8 @@
   fi
 }
 
-mutant "floor" internal/system/rotation/rotation.go 's/if p.in <= least {/if false {/' ./internal/system/rotation
-mutant "floor of non-idempotent" internal/system/rotation/rotation.go 's/idempotentOnly \&\& p.whole > max(p.floor, 1)/idempotentOnly/' ./internal/system/rotation
+mutant "floor" internal/system/rotation/rotation.go 's/if p.inRotation <= minimum {/if false {/' ./internal/system/rotation
+mutant "floor of non-idempotent" internal/system/rotation/rotation.go 's/idempotentOnly \&\& p.open > max(p.floor, 1)/idempotentOnly/' ./internal/system/rotation
 mutant "own answer" internal/dispatch/result.go 's/return echo == x.req.ID/return echo != ""/' ./e2e -ginkgo.focus "another request's ID"
 mutant "abort of a short answer" internal/dispatch/response.go '0,/panic(http.ErrAbortHandler)/s//return/' ./e2e -ginkgo.focus "cut short|cannot be continued"
 mutant "resumed download" internal/dispatch/response.go 's/if !c.resumable {/if true {/' ./e2e -ginkgo.focus "continues a download"
@@ -58,28 +58,28 @@
 mutant "the later end of two rests" internal/availability/availability.go 's/ \&\& until.After(state.RestUntil)//' ./internal/availability
 mutant "stop grace" internal/daemon/stop.go 's/^	wait(ctx, time.Duration(d.settings.Timing.StopGrace))$//' ./e2e -ginkgo.focus "kept connections"
 mutant "graceful end" internal/daemon/stop.go 's/d.callerServer.Shutdown(ctx), d.peerServer.Shutdown(ctx)/d.callerServer.Close(), d.peerServer.Close()/' ./e2e -ginkgo.focus "in turn under load"
-mutant "witnesses" internal/system/detection/judge.go 's/return live <= 1 || e.witnessed(now)/return true/' ./experiment/detection -run NoFalse
+mutant "witnesses" internal/system/detection/judge.go 's/return live <= 1 || e.corroborated(now)/return true/' ./experiment/detection -run NoFalse
 mutant "peers' score" internal/system/detection/score.go 's/peerFactor = 3/peerFactor = 0/' ./experiment/detection -run NoFalse
 mutant "gossip reaches all" internal/gossip/queue.go "s/extraTransmits = 12$/extraTransmits = 0/" ./internal/membership
 mutant "asking ends" internal/claims/coordinator.go "s/time.Now().After(deadline)/deadline.IsZero()/" ./internal/claims
-mutant "stand-in for a silent reader" internal/system/configsync/takeover.go 's/silent > silentAfter/silent > time.Hour/' ./internal/system/configsync
-mutant "stand-in for a stale reader" internal/system/configsync/takeover.go 's/stale > due/stale > due+time.Hour/' ./internal/system/configsync
+mutant "stand-in for a silent reader" internal/system/configsync/failover.go 's/heartbeatAge > heartbeatTimeout/heartbeatAge > time.Hour/' ./internal/system/configsync
+mutant "stand-in for a stale reader" internal/system/configsync/failover.go 's/answerAge > takeOverAge/answerAge > takeOverAge+time.Hour/' ./internal/system/configsync
 mutant "grace for lapsed registrations" internal/system/configsync/absence.go 's/if grace <= 0 || b.Leaving {/if true {/' ./internal/system/configsync
 mutant "a change that does not fit" internal/registry/registry.go 's/if list.Base > t.revision {/if false {/' ./internal/registry
 mutant "a digest that differs" internal/registry/registry.go 's/list.Digest != 0 \&\& list.Digest != t.digest/false/' ./internal/registry
 mutant "the whole list is asked for" internal/system/configsync/discovered.go 's/	doc.Incomplete = true$//' ./internal/engine -run WholeList
-mutant "changes in place of lists" internal/registry/registry.go 's/if revision == 0 || revision < t.complete {/if true {/' ./internal/registry -run Bytes
+mutant "changes in place of lists" internal/registry/registry.go 's/if revision == 0 || revision < t.completeSince {/if true {/' ./internal/registry -run Bytes
 mutant "evacuation" internal/system/rotation/rotation.go 's/slices.Contains(p.w.Evacuated, b.Config.DataCentre)/false/' ./internal/engine -run Evacuated
 mutant "home regions" internal/region/region.go 's/known \&\& slices.Contains(h.regions, region)/known \&\& region != ""/' ./platform -run Homes
 mutant "homes of route and customer" internal/frontend/customer.go 's/^		req.Homes = req.Homes.And(holder.Homes)$//' ./platform -run Homes
 mutant "cold servers" internal/engine/serviceview.go 's/if svc.Config.ColdPerSecond <= 0 {/if true {/' ./platform -run ColdServer
-mutant "cold again" internal/registry/registry.go 's/ || now.Add(time.Duration(other.Warmup)).Sub(e.coldUntil) > coldAgain \&\& other.Warmup > 0//' ./platform -run ColdAgain
+mutant "cold again" internal/registry/registry.go 's/ || now.Add(time.Duration(other.Warmup)).Sub(e.coldUntil) > warmupTolerance \&\& other.Warmup > 0//' ./platform -run ColdAgain
 mutant "breadth where requests are enough" internal/policy/breadth.go 's/ \&\& svc.effortFor(now, wanted) <= need.effort//' ./internal/policy -run RequestsEnough
 mutant "servers that join" internal/policy/breadth.go 's/func (s \*server) isUntried() bool { return .* }/func (s *server) isUntried() bool { return false }/' ./internal/policy -run Joins
 mutant "servers that are met are not new" internal/policy/table.go 's/return !view.JoinedAt.IsZero() \&\& now.Sub(view.JoinedAt) < newFor/return true/' ./internal/policy -run NewServersAreTrusted
 mutant "requests with little time" internal/policy/patience.go 's/return shortest > 0 \&\& queue/return false \&\& queue/' ./experiment/replay -run LittleTime
-mutant "hosts wait for a reader that lists" internal/system/configsync/configsync.go 's/if s.standIn.hearsReader \&\& now.Sub(s.standIn.heard) <= silentAfter {/if false {/' ./experiment/loops -run LongList
-mutant "readers are heard before their first answer" internal/system/configsync/takeover.go 's/if !s.conf.StandIn || !IsReader(w) {/if !s.conf.StandIn || !IsReader(w) || s.standIn.answered.IsZero() {/' ./internal/system/configsync -run UnansweredReader
+mutant "hosts wait for a reader that lists" internal/system/configsync/configsync.go 's/if s.failover.heardReader \&\& now.Sub(s.failover.lastHeartbeat) <= heartbeatTimeout {/if false {/' ./experiment/loops -run LongList
+mutant "readers are heard before their first answer" internal/system/configsync/failover.go 's/if !s.conf.StandIn || !IsReader(w) {/if !s.conf.StandIn || !IsReader(w) || s.failover.lastOwnAnswer.IsZero() {/' ./internal/system/configsync -run UnansweredReader
 mutant "sync prefers the local data centre" internal/membership/config.go 's/remoteSyncRatio = 8$/remoteSyncRatio = 1/' ./internal/membership -run SyncPrefersLocalDataCentre
 mutant "bounded overflow" internal/policy/pick.go 's/	overflowSample = 128$/	overflowSample = 100000/' ./internal/policy -run Overflow
 mutant "late reports" internal/policy/report.go 's/if next.before(p.counts) {/if false {/' ./internal/policy
@@ -107,13 +107,13 @@
 mutant "leaving servers are no evidence" internal/dispatch/quarantine.go 's/return x.inRotation(lease.Server) \&\& /return /' ./e2e -ginkgo.focus "after it was drained"
 mutant "a host that stood still is no witness" internal/dispatch/quarantine.go 's/x.d.snapshot().Fresh(time.Now(), boottime.Suspended())/(x.d.snapshot().Fresh(time.Now(), boottime.Suspended()) || true)/' ./e2e -ginkgo.focus "stood still"
 mutant "an end is checked" internal/dispatch/quarantine.go 's/fate == upstream.FateEnded \&\& /(fate == upstream.FateEnded || true) \&\& /' ./e2e -ginkgo.focus "evidence that a request"
-mutant "path faults leave half" internal/system/rotation/rotation.go 's|stays := max(p.floor, (len(p.svc.Backends)+1)/2)|stays := p.floor|' ./internal/system/rotation
+mutant "path faults leave half" internal/system/rotation/rotation.go 's|minimum := max(p.floor, (len(p.svc.Backends)+1)/2)|minimum := p.floor|' ./internal/system/rotation
 mutant "suspension" internal/engine/engine.go 's/pause := max(world.Elapsed(e.lastTick, now), now.Sub(e.lastTick)+slept)/pause := world.Elapsed(e.lastTick, now)/' ./internal/engine
 mutant "spent allowance" internal/policy/pick.go 's/return rule.IdempotentFailure + spent\*/return rule.IdempotentFailure + 0*spent*/' ./internal/policy
 mutant "trouble within a second" internal/policy/breadth.go 's/ || svc.manyUnserved(now, windowBuckets\/2)//' ./internal/policy
 mutant "new hosts repeat the bootstrap sync" internal/membership/probe.go 's/if l.Live() > bootstrapSyncMaxHosts \&\& /if /' ./internal/membership
 mutant "missing documents only" internal/system/configsync/configsync.go 's/if w.Document(key).Revision == 0 {/if true {/' ./internal/system/configsync
-mutant "start grace" internal/system/configsync/configsync.go 's/heard: now.Add(startGrace)/heard: now/' ./internal/system/configsync
+mutant "start grace" internal/system/configsync/configsync.go 's/lastHeartbeat: now.Add(startGrace)/lastHeartbeat: now/' ./internal/system/configsync
 mutant "refusal after an owner broke off" internal/dispatch/forward.go 's/if x.written \&\& Outcome/if false \&\& Outcome/' ./internal/dispatch
 mutant "refusal here after an owner broke off" internal/dispatch/dispatch.go 's/refusal.Outcome == OutcomeNotRun \&\& x.written/false/' ./internal/dispatch
 mutant "young hosts spend their own" internal/policy/retries.go 's/if age < rule.Window \&\& /if false \&\& /' ./internal/policy
