--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -22,20 +22,20 @@
 	// from which on a queue stands, and standingLeast how many must have come. Refusing
 	// holds the share near this figure: below it, requests are admitted again. Lower
 	// refuses requests of short spikes too.
-	standingShare = 0.5
-	standingLeast = 10
-	// lessUrgent is the part of standingShare and of standingLate from which on
+	standingShare      = 0.5
+	standingMinAnswers = 10
+	// lowPriorityFactor is the part of standingShare and of standingLate from which on
 	// requests are refused that are less urgent than others of the service: they make
 	// room first.
-	lessUrgent = 0.5
+	lowPriorityFactor = 0.5
 	// priorityWindow is the time over which the work of requests is added up by their
 	// priority: a host has a few a second of a service. Less urgent requests make room
 	// where more than urgentShare of the work is more urgent; less needs no room made.
-	priorityWindow = 10 * time.Second
-	urgentShare    = 0.2
-	// hopeless is the chance of no answer in time at all, above which a request is
+	priorityWindow    = 10 * time.Second
+	highPriorityShare = 0.2
+	// missedDeadlineThreshold is the chance of no answer in time at all, above which a request is
 	// refused at any time: it would only hold up others.
-	hopeless = 0.9
+	missedDeadlineThreshold = 0.9
 )
 
 // admit refuses a request that would be answered too late to be of use, by the
@@ -44,23 +44,23 @@
 	if !t.has(MechanismStanding) || req.Deadline.IsZero() {
 		return nil
 	}
-	estimate := best.row.estimate(now, svc, t.usual(svc, req.Group), best.row.load(now))
+	estimate := best.state.estimate(now, svc, t.typicalLatency(svc, req.Group), best.state.load(now))
 	expected := estimate.expected
-	svc.notePatience(now, req)
-	if t.knownNow(now, req.Group) != nil && svc.times.beyondAfter(req.left(now), expected) > hopeless {
+	svc.recordDeadline(now, req)
+	if t.routeIfKnown(now, req.Group) != nil && svc.latencies.probabilityAfter(req.timeLeft(now), expected) > missedDeadlineThreshold {
 		return errs.New(errs.KindQueueFull, "no backend server of "+req.Service+" can answer before the request's deadline", "repeat the request after the time in Retry-After, or allow more time")
 	}
 	if !req.First {
 		return nil
 	}
-	if t.knownNow(now, req.Group) != nil && svc.makesRoom(now, req, estimate) {
+	if t.routeIfKnown(now, req.Group) != nil && svc.mustYield(now, req, estimate) {
 		return errs.New(errs.KindQueueFull, "the queue of "+req.Service+" is as long as requests with less time can wait", "repeat the request after the time in Retry-After; add capacity")
 	}
 	strictness := 1.0
-	if svc.moreUrgent(now, req.Priority) {
-		strictness = lessUrgent
+	if svc.hasHigherPriorityWork(now, req.Priority) {
+		strictness = lowPriorityFactor
 	}
-	late := svc.times.beyondAfter(req.objectiveLeft(now), expected)
+	late := svc.latencies.probabilityAfter(req.objectiveLeft(now), expected)
 	if svc.lateShare(now) > strictness*standingShare && late > strictness*standingLate {
 		return errs.New(errs.KindQueueFull, "the queue of "+req.Service+" stands: the answer would be late", "repeat the request after the time in Retry-After")
 	}
@@ -70,18 +70,18 @@
 // lateShare is the share of late ones among the newest answers of this data centre,
 // 0 where there are too few to tell.
 func (svc *service) lateShare(now time.Time) float64 {
-	late := svc.late.sum(now, troubleWindow)
-	served := svc.served.sum(now, troubleWindow)
-	if served < standingLeast {
+	late := svc.late.sum(now, outcomeWindow)
+	served := svc.served.sum(now, outcomeWindow)
+	if served < standingMinAnswers {
 		return 0
 	}
 	return float64(late) / float64(served)
 }
 
-// notePriority adds a request's usual work to that of its rank. What a route takes is
+// recordPriority adds a request's usual work to that of its rank. What a route takes is
 // known only after some answers; until then its requests do not count.
-func (t *Table) notePriority(now time.Time, svc *service, req Request) {
-	r := t.knownNow(now, req.Group)
+func (t *Table) recordPriority(now time.Time, svc *service, req Request) {
+	r := t.routeIfKnown(now, req.Group)
 	if r == nil {
 		return
 	}
@@ -90,11 +90,11 @@
 		w = &window{}
 		svc.priorities[req.Priority] = w
 	}
-	w.add(now, priorityWindow, int(r.usual.Milliseconds()))
+	w.add(now, priorityWindow, int(r.typicalLatency.Milliseconds()))
 }
 
-// moreUrgent reports whether much of the newest work is of a higher rank.
-func (svc *service) moreUrgent(now time.Time, priority int) bool {
+// hasHigherPriorityWork reports whether much of the newest work is of a higher rank.
+func (svc *service) hasHigherPriorityWork(now time.Time, priority int) bool {
 	urgent, all := 0, 0
 	for other, w := range svc.priorities {
 		n := w.sum(now, priorityWindow)
@@ -103,5 +103,5 @@
 			urgent += n
 		}
 	}
-	return float64(urgent) > urgentShare*float64(all)
+	return float64(urgent) > highPriorityShare*float64(all)
 }
--- a/internal/policy/availability_test.go
+++ b/internal/policy/availability_test.go
@@ -11,8 +11,8 @@
 	"github.com/pearshelf/pearshelf/internal/ratelimit"
 )
 
-// said returns what servers have said by now.
-func said(now time.Time, reports map[string]protocol.ServerState) availability.Moment {
+// reportedStates returns what servers have reportedStates by now.
+func reportedStates(now time.Time, reports map[string]protocol.ServerState) availability.Moment {
 	table := availability.NewTable(func() time.Time { return now })
 	for id, report := range reports {
 		table.Learn(process.Server{Service: "s", ID: id}, report)
@@ -23,14 +23,14 @@
 // Neither a first send nor a copy nor a trial goes to a server that takes no requests by its
 // own report, not even while too few servers are in use; where there is no other, none is
 // picked.
-func TestServersThatTakeNoRequestsAreLeftOut(t *testing.T) {
+func TestServersThatTakeNoRequestsAreNotPicked(t *testing.T) {
 	for name, report := range map[string]protocol.ServerState{"leaving": {Leaving: true}, "resting": {Rest: time.Minute}} {
 		t.Run(name, func(t *testing.T) {
 			table, now := newTable()
 			v := view(3)
-			use(t, table, now, v, "b0", Done{Outcome: Failed})
+			sendTo(t, table, now, v, "b0", Done{Outcome: Failed})
 			now = now.Add(10 * time.Second) // b0 has had no request for long: all that looks for such servers wants it
-			moment := said(now, map[string]protocol.ServerState{"b0": report})
+			moment := reportedStates(now, map[string]protocol.ServerState{"b0": report})
 			for _, idempotent := range []bool{true, false} {
 				for range 50 {
 					got := mustPick(t, table, now, v, Request{First: true, Idempotent: idempotent, Availability: moment})
@@ -44,7 +44,7 @@
 			if got, due := table.Trial(now, v, req); due {
 				t.Errorf("%s is tried", got.Server.ID)
 			}
-			all := said(now, map[string]protocol.ServerState{"b0": report, "b1": report, "b2": report})
+			all := reportedStates(now, map[string]protocol.ServerState{"b0": report, "b1": report, "b2": report})
 			req.Availability = all
 			if _, err := table.Pick(now, v, req); errs.KindOf(err) != errs.KindNoBackend {
 				t.Errorf("with all of them away: %v", err)
@@ -75,8 +75,8 @@
 	mustPick(t, table, at, v, req)
 }
 
-// limitsOf is a view in which servers name rate limits.
-func limitsOf(ids ...string) *ratelimit.View {
+// rateLimitsOf is a view in which servers name rate limits.
+func rateLimitsOf(ids ...string) *ratelimit.View {
 	var limits []ratelimit.Limit
 	for _, id := range ids {
 		limits = append(limits, ratelimit.Limit{Server: process.Server{Service: "s", ID: id}, PerSecond: 2})
@@ -86,10 +86,10 @@
 
 // A server that names a rate limit gets requests where the others do not serve, and is not left
 // out of use; copies and trials do not go there.
-func TestServersWithRateLimitsAreSpared(t *testing.T) {
+func TestRateLimitedServersAreAvoided(t *testing.T) {
 	table, now := newTable()
 	v := view(3)
-	limits := limitsOf("b0")
+	limits := rateLimitsOf("b0")
 	limited := 0
 	const picks = 60
 	for range picks {
@@ -111,7 +111,7 @@
 	if got, err := table.Pick(now, v, req); err == nil {
 		t.Errorf("a copy goes to %s", got.Server.ID)
 	}
-	use(t, table, now, v, "b0", Done{Outcome: Failed})
+	sendTo(t, table, now, v, "b0", Done{Outcome: Failed})
 	if got, due := table.Trial(now.Add(10*time.Second), v, req); due {
 		t.Errorf("%s is tried", got.Server.ID)
 	}
--- a/internal/policy/connections_test.go
+++ b/internal/policy/connections_test.go
@@ -9,32 +9,32 @@
 // requests of the whole data centre on connections that were just in use, and
 // says little against the server.
 func TestBrokenIdleConnection(t *testing.T) {
-	loser, now := newTable()
-	neighbour, _ := newTable()
+	sender, now := newTable()
+	peer, _ := newTable()
 	v := view(2)
 	for range 3 {
-		use(t, loser, now, v, "b0", Done{Outcome: Good, FirstByte: 200 * time.Millisecond})
+		sendTo(t, sender, now, v, "b0", Done{Outcome: Good, FirstByte: 200 * time.Millisecond})
 	}
-	near, _ := loser.Changes(now)
-	neighbour.Report(now, "h2", 1, near, true)
-	use(t, loser, now, v, "b0", Done{Outcome: Failed, Reused: true, Took: time.Millisecond})
-	near, failing := loser.Changes(now)
-	neighbour.Report(now, "h2", 1, near, true)
+	near, _ := sender.Changes(now)
+	peer.Report(now, "h2", 1, near, true)
+	sendTo(t, sender, now, v, "b0", Done{Outcome: Failed, Reused: true, Took: time.Millisecond})
+	near, failing := sender.Changes(now)
+	peer.Report(now, "h2", 1, near, true)
 	if len(failing) != 0 {
 		t.Errorf("all hosts are told of %v", failing)
 	}
-	if belief := loser.servers[key{"s", "b0"}].spell.now(now); belief > 0.3 {
+	if belief := sender.servers[key{"s", "b0"}].health.probabilityAt(now); belief > 0.3 {
 		t.Errorf("belief %.2f after one broken connection", belief)
 	}
-	for name, table := range map[string]*Table{"the host": loser, "its neighbour": neighbour} {
+	for name, table := range map[string]*Table{"the host": sender, "its neighbour": peer} {
 		for _, idempotent := range []bool{true, false} {
 			lease := mustPick(t, table, time.Now(), v, Request{First: true, Idempotent: idempotent})
 			if bounded := lease.MaxIdle > 0; bounded == idempotent {
 				t.Errorf("%s, idempotent %t: idle time bounded %t", name, idempotent, bounded)
 			}
 		}
-		if lease := mustPick(t, table, time.Now().Add(2*staleFor), v, Request{First: true}); lease.MaxIdle > 0 {
-			t.Errorf("%s: idle time still bounded after %s", name, 2*staleFor)
+		if lease := mustPick(t, table, time.Now().Add(2*staleConnectionPeriod), v, Request{First: true}); lease.MaxIdle > 0 {
+			t.Errorf("%s: idle time still bounded after %s", name, 2*staleConnectionPeriod)
 		}
 	}
 }
@@ -48,9 +48,9 @@
 	} {
 		table, now := newTable()
 		v := view(1)
-		use(t, table, now, v, "b0", Done{Outcome: Good, FirstByte: 200 * time.Millisecond})
-		use(t, table, now, v, "b0", done)
-		if belief := table.servers[key{"s", "b0"}].spell.now(now); belief < 0.9 {
+		sendTo(t, table, now, v, "b0", Done{Outcome: Good, FirstByte: 200 * time.Millisecond})
+		sendTo(t, table, now, v, "b0", done)
+		if belief := table.servers[key{"s", "b0"}].health.probabilityAt(now); belief < 0.9 {
 			t.Errorf("%s: belief %.2f, want near certainty", name, belief)
 		}
 	}
--- a/internal/policy/copies.go
+++ b/internal/policy/copies.go
@@ -18,12 +18,12 @@
 	reviewQuantile = 0.7
 	// reviewStep is the time between two considerations, in usual times.
 	reviewStep = 0.15
-	// copyWork is the cost of a copy at an idle data centre, copyLoad what is added
+	// copyBaseCost is the cost of a copy at an idle data centre, copyLoad what is added
 	// where its servers have a request for each slot, growing with the square;
 	// copySpent what is added as the retry allowance is spent. In requests lost.
-	copyWork  = 0.05
-	copyLoad  = 0.25
-	copySpent = 0.3
+	copyBaseCost      = 0.05
+	copyLoadCost      = 0.25
+	copyAllowanceCost = 0.3
 )
 
 // Review says whether a request that waits at a server should have a copy now and,
@@ -36,21 +36,21 @@
 	svc := t.service(req.Service)
 	age := now.Sub(p.pending.since)
 	usual := p.pending.expected
-	first := time.Duration(svc.times.quantile(reviewQuantile) * float64(usual))
+	first := time.Duration(svc.latencies.quantile(reviewQuantile) * float64(usual))
 	if age < first {
 		return false, first - age
 	}
-	if req.left(now) <= 0 {
+	if req.timeLeft(now) <= 0 {
 		return false, 0
 	}
-	if t.worthCopy(now, view, req, p) {
+	if t.isCopyWorthwhile(now, view, req, p) {
 		return true, 0
 	}
 	return false, max(time.Duration(reviewStep*float64(usual)), time.Millisecond)
 }
 
-// worthCopy compares the loss that a copy saves with its cost.
-func (t *Table) worthCopy(now time.Time, view *world.ServiceView, req Request, p *Placement) bool {
+// isCopyWorthwhile compares the loss that a copy saves with its cost.
+func (t *Table) isCopyWorthwhile(now time.Time, view *world.ServiceView, req Request, p *Placement) bool {
 	used := t.retriesUsed(now, req.Service, req.Fleet)
 	if !used.allowsOne() {
 		return false
@@ -61,21 +61,21 @@
 		return false
 	}
 	svc := t.service(req.Service)
-	waiting := t.lossWaiting(now, svc, req, p)
-	expected := best.row.estimate(now, svc, t.usual(svc, req.Group), best.row.load(now)).expected
-	other := t.loss(svc, best.row.failure(now, svc), expected, req.objectiveLeft(now), req.left(now))
+	waiting := t.lossIfWaiting(now, svc, req, p)
+	expected := best.state.estimate(now, svc, t.typicalLatency(svc, req.Group), best.state.load(now)).expected
+	other := t.lossIfSent(svc, best.state.failureProbability(now, svc), expected, req.objectiveLeft(now), req.timeLeft(now))
 	spent := used.spent()
-	busy := t.busy(now, view, req)
-	cost := copyWork + copyLoad*busy*busy + copySpent*spent*spent + t.crossing(best.server, req)
+	busy := t.utilization(now, view, req)
+	cost := copyBaseCost + copyLoadCost*busy*busy + copyAllowanceCost*spent*spent + t.crossDataCentreCost(best.server, req)
 	return waiting*(1-other) > cost
 }
 
-// lossWaiting is the expected loss of a request that waits at a server: it may
+// lossIfWaiting is the expected loss of a request that waits at a server: it may
 // never be answered, or too late.
-func (t *Table) lossWaiting(now time.Time, svc *service, req Request, p *Placement) float64 {
+func (t *Table) lossIfWaiting(now time.Time, svc *service, req Request, p *Placement) float64 {
 	age := now.Sub(p.pending.since)
-	unanswered := svc.times.beyondAfter(age, p.pending.expected)
-	hang := svc.hang()
+	unanswered := svc.latencies.probabilityAfter(age, p.pending.expected)
+	hang := svc.unansweredProbability()
 	belief := 0.0
 	if s, known := t.servers[p.key]; known {
 		if s.process != p.process {
@@ -84,15 +84,15 @@
 		belief = s.belief(now, svc)
 	}
 	never := belief * hang / (hang + (1-hang)*unanswered)
-	late := svc.times.beyondAfter(age+req.objectiveLeft(now), p.pending.expected) / unanswered
-	lost := svc.times.beyondAfter(age+req.left(now), p.pending.expected) / unanswered
+	late := svc.latencies.probabilityAfter(age+req.objectiveLeft(now), p.pending.expected) / unanswered
+	lost := svc.latencies.probabilityAfter(age+req.timeLeft(now), p.pending.expected) / unanswered
 	return never + (1-never)*t.lateLoss(min(late, 1), min(lost, 1))
 }
 
-// loss is the expected loss of a request sent to a server now.
-func (t *Table) loss(svc *service, failure float64, expected, objectiveLeft, left time.Duration) float64 {
-	late := svc.times.beyondAfter(objectiveLeft, expected)
-	lost := svc.times.beyondAfter(left, expected)
+// lossIfSent is the expected lossIfSent of a request sent to a server now.
+func (t *Table) lossIfSent(svc *service, failure float64, expected, objectiveLeft, left time.Duration) float64 {
+	late := svc.latencies.probabilityAfter(objectiveLeft, expected)
+	lost := svc.latencies.probabilityAfter(left, expected)
 	return failure + (1-failure)*t.lateLoss(late, lost)
 }
 
@@ -100,8 +100,8 @@
 	return t.conf.Cost.Late*late + (t.conf.Cost.Failure-t.conf.Cost.Late)*lost
 }
 
-// busy is the part of the slots of the subset in this data centre that have a request, 1 at most.
-func (t *Table) busy(now time.Time, view *world.ServiceView, req Request) float64 {
+// utilization is the part of the slots of the subset in this data centre that have a request, 1 at most.
+func (t *Table) utilization(now time.Time, view *world.ServiceView, req Request) float64 {
 	load, slots := 0.0, 0
 	servers := view.Candidates()
 	for i := range servers {
@@ -129,8 +129,8 @@
 	return objective - r.elapsed(now)
 }
 
-// left is the time until the request's deadline.
-func (r Request) left(now time.Time) time.Duration { return r.Deadline.Sub(now) }
+// timeLeft is the time until the request's deadline.
+func (r Request) timeLeft(now time.Time) time.Duration { return r.Deadline.Sub(now) }
 
 // elapsed is how long the request has been here.
 func (r Request) elapsed(now time.Time) time.Duration {
--- a/internal/policy/counts.go
+++ b/internal/policy/counts.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func countsOf(l *peerpb.BackendLoad) counts {
+func countsFrom(l *peerpb.BackendLoad) counts {
 	return counts{
 		good:             l.Good,
 		failed:           l.Failed,
@@ -54,8 +54,8 @@
 	}
 }
 
-// before reports whether any count is lower, as in an older report.
-func (c counts) before(d counts) bool {
+// isOlderThan reports whether any count is lower, as in an older report.
+func (c counts) isOlderThan(d counts) bool {
 	return c.good < d.good || c.failed < d.failed || c.unreachable < d.unreachable ||
 		c.shed < d.shed || c.lateErrors < d.lateErrors ||
 		c.staleConnections < d.staleConnections || c.requests < d.requests || c.retries < d.retries
@@ -64,9 +64,9 @@
 // unserved counts the requests that brought their callers no good answer.
 func (c counts) unserved() uint64 { return c.failed + c.lateErrors + c.staleConnections + c.shed }
 
-// history is all but the newest outcome: of what a host first tells of a server,
+// withoutNewest is all but the newest outcome: of what a host first tells of a server,
 // only that is news. A failure comes first, because it is what is told to all.
-func (c counts) history() counts {
+func (c counts) withoutNewest() counts {
 	switch {
 	case c.failed > 0:
 		c.failed--
@@ -76,8 +76,8 @@
 	return c
 }
 
-// row is a report. One without a server holds the totals of a service.
-func (c counts) row(k key) *peerpb.BackendLoad {
+// message is a report. One without a server holds the totals of a service.
+func (c counts) message(k key) *peerpb.BackendLoad {
 	return &peerpb.BackendLoad{
 		Service:          k.service,
 		Backend:          k.backend,
--- a/internal/policy/fewrequests_test.go
+++ b/internal/policy/fewrequests_test.go
@@ -8,26 +8,26 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// learnAll lets a table know each server by an answer, and by its requests at a rate a server.
-func learnAll(t *testing.T, table *Table, now time.Time, servers int) {
+// useAll lets a table know each server by an answer, and by its requests at a rate a server.
+func useAll(t *testing.T, table *Table, now time.Time, servers int) {
 	t.Helper()
 	v := view(servers)
 	for i := range servers {
-		use(t, table, now, v, fmt.Sprint("b", i), Done{Outcome: Good, FirstByte: 200 * time.Millisecond})
+		sendTo(t, table, now, v, fmt.Sprint("b", i), Done{Outcome: Good, FirstByte: 200 * time.Millisecond})
 	}
 }
 
-// pickedOutOfUse sends requests at a rate a server and returns the part of them that went to
+// shareSentToUnused sends requests at a rate a server and returns the part of them that went to
 // servers which had been out of use for longer than they need be. All servers are sound.
-func pickedOutOfUse(t *testing.T, perServer float64) float64 {
+func shareSentToUnused(t *testing.T, perServer float64) float64 {
 	t.Helper()
 	const servers = 40
 	table, now := newTable()
 	v := view(servers)
-	learnAll(t, table, now, servers)
+	useAll(t, table, now, servers)
 	picked, idle := 0, 0
 	gap := time.Duration(float64(time.Second) / perServer / servers)
-	begin := now.Add(2 * troubleWindow)
+	begin := now.Add(2 * outcomeWindow)
 	for end := now.Add(20 * time.Second); now.Before(end); now = now.Add(gap) {
 		before := make(map[string]time.Time)
 		for i := range servers {
@@ -40,7 +40,7 @@
 			continue
 		}
 		picked++
-		if now.Sub(before[p.Server.ID]) > unusedFor {
+		if now.Sub(before[p.Server.ID]) > inUsePeriod {
 			idle++
 		}
 	}
@@ -50,8 +50,8 @@
 // Requests go to servers only because these are out of use where there are requests enough to
 // keep servers in use. Where servers get one every few seconds such picks would be nearly all,
 // each to a server of which the least is known.
-func TestBreadthIsForServicesWithRequestsEnough(t *testing.T) {
-	few, many := pickedOutOfUse(t, 0.3), pickedOutOfUse(t, 3)
+func TestCoverageRequiresEnoughRequests(t *testing.T) {
+	few, many := shareSentToUnused(t, 0.3), shareSentToUnused(t, 3)
 	if few > 0.5 {
 		t.Errorf("at 0.3 requests a second and server %.2f of them went to servers out of use", few)
 	}
@@ -70,12 +70,12 @@
 }
 
 // A server that joins gets a request soon, also where there are few.
-func TestServerThatJoinsIsTried(t *testing.T) {
+func TestJoinedServerIsTried(t *testing.T) {
 	table, now := newTable()
-	learnAll(t, table, now, 20)
+	useAll(t, table, now, 20)
 	now = now.Add(10 * time.Second)
 	for range 4 { // that they are good is known well
-		learnAll(t, table, now, 20)
+		useAll(t, table, now, 20)
 	}
 	now = now.Add(100 * time.Millisecond)
 	if p := mustPick(t, table, now, joinedFrom(20, 21, now), Request{First: true, Idempotent: true}); p.Server.ID != "b20" {
@@ -109,7 +109,7 @@
 		v.Subset = v.Backends[:10]
 		for i := range 10 {
 			for range 3 {
-				use(t, table, now, v, fmt.Sprint("b", i), Done{Outcome: Failed, FirstByte: time.Millisecond})
+				sendTo(t, table, now, v, fmt.Sprint("b", i), Done{Outcome: Failed, FirstByte: time.Millisecond})
 			}
 		}
 		p := mustPick(t, table, now, v, Request{First: true})
@@ -124,7 +124,7 @@
 }
 
 // The only server that takes requests is found among thousands.
-func TestOverflowFindsTheLastServer(t *testing.T) {
+func TestOverflowFindsOnlyAvailableServer(t *testing.T) {
 	table, now := newTable()
 	v := view(3600)
 	v.Subset = v.Backends[:10]
@@ -147,7 +147,7 @@
 			v := view(servers)
 			v.Subset = v.Backends[:10]
 			for i := range 10 {
-				table.row(now, key{"s", fmt.Sprint("b", i)}, &v.Backends[i]).spell.failed(now)
+				table.state(now, key{"s", fmt.Sprint("b", i)}, &v.Backends[i]).health.observeFailure(now)
 			}
 			for b.Loop() {
 				p, err := table.Pick(now, v, Request{Service: "s", DataCentre: "dc1", First: true})
--- a/internal/policy/mechanisms.go
+++ b/internal/policy/mechanisms.go
@@ -10,30 +10,30 @@
 const (
 	// MechanismSpells is the belief that a server fails, from outcomes.
 	MechanismSpells Mechanism = "spells"
-	// MechanismSilence is evidence from requests that wait, silence.go.
-	MechanismSilence Mechanism = "silence"
+	// MechanismUnanswered is evidence from requests that wait, silence.go.
+	MechanismUnanswered Mechanism = "silence"
 	// MechanismCopies are second copies of idempotent requests, copies.go.
 	MechanismCopies Mechanism = "copies"
 	// MechanismOutcomes is what other hosts tell of outcomes.
 	MechanismOutcomes Mechanism = "shared-outcomes"
 	// MechanismLoads is what other hosts tell of their requests in flight.
 	MechanismLoads Mechanism = "shared-loads"
-	// MechanismToldLoad is the load that servers tell.
-	MechanismToldLoad Mechanism = "told-load"
+	// MechanismReportedLoad is the load that servers tell.
+	MechanismReportedLoad Mechanism = "told-load"
 	// MechanismBreadth keeps servers in use, breadth.go.
 	MechanismBreadth Mechanism = "breadth"
 	// MechanismTrouble uses nearly all servers while many requests are unserved.
 	MechanismTrouble Mechanism = "trouble"
-	// MechanismDataCentre prefers servers of the own data centre.
-	MechanismDataCentre Mechanism = "own-data-centre"
+	// MechanismOwnDataCentre prefers servers of the own data centre.
+	MechanismOwnDataCentre Mechanism = "own-data-centre"
 	// MechanismColdStart expects new servers to be slow.
 	MechanismColdStart Mechanism = "cold-start"
 	// MechanismIdleConnections is connections.go.
 	MechanismIdleConnections Mechanism = "idle-connections"
-	// MechanismRoutes are usual times by route, routes.go.
-	MechanismRoutes Mechanism = "route-times"
-	// MechanismYoungHosts bounds what a host that has just started sends again.
-	MechanismYoungHosts Mechanism = "young-hosts"
+	// MechanismRouteLatency are usual times by route, routes.go.
+	MechanismRouteLatency Mechanism = "route-times"
+	// MechanismNewHosts bounds what a host that has just started sends again.
+	MechanismNewHosts Mechanism = "young-hosts"
 	// MechanismTrials are copies of idempotent requests to servers believed to fail,
 	// trial.go.
 	MechanismTrials Mechanism = "trials"
@@ -47,9 +47,9 @@
 // Mechanisms lists all that can be left out.
 func Mechanisms() []Mechanism {
 	return []Mechanism{
-		MechanismSpells, MechanismSilence, MechanismCopies, MechanismOutcomes, MechanismLoads,
-		MechanismToldLoad, MechanismBreadth, MechanismTrouble, MechanismDataCentre,
-		MechanismColdStart, MechanismIdleConnections, MechanismRoutes, MechanismYoungHosts, MechanismTrials, MechanismStanding,
+		MechanismSpells, MechanismUnanswered, MechanismCopies, MechanismOutcomes, MechanismLoads,
+		MechanismReportedLoad, MechanismBreadth, MechanismTrouble, MechanismOwnDataCentre,
+		MechanismColdStart, MechanismIdleConnections, MechanismRouteLatency, MechanismNewHosts, MechanismTrials, MechanismStanding,
 		MechanismReturnOneByOne,
 	}
 }
--- a/internal/policy/outcome.go
+++ b/internal/policy/outcome.go
@@ -61,8 +61,8 @@
 	// whether the answer came after the objective.
 	slowness float64
 	late     bool
-	// silence is the evidence, in log odds, of the time that it waited in vain.
-	silence float64
+	// unansweredLogOdds is the evidence, in log odds, of the time that it waited in vain.
+	unansweredLogOdds float64
 }
 
 // Finish ends a request that Pick placed. It must be called once a placement.
@@ -75,100 +75,100 @@
 	svc.dirty = true
 	if p.process != s.process { // says nothing of the process that has the ID now
 		svc.totals.add(done)
-		svc.noteOutcome(now, done)
+		svc.recordOutcome(now, done)
 		return
 	}
 	s.inFlight--
 	s.removePending(p.pending)
 	s.dirty = true
 	if done.Unsent {
-		s.takeBackUse(p.use)
+		s.undoUse(p.use)
 	}
-	done.slowness = float64(done.FirstByte) / float64(p.pending.atUsual)
+	done.slowness = float64(done.FirstByte) / float64(p.pending.atTypicalSpeed)
 	done.late = now.After(p.objectiveAt)
 	if done.TimedOut || done.Outcome == Abandoned {
-		done.silence = svc.silenceOf(done.Took, p.pending.expected)
+		done.unansweredLogOdds = svc.requestLogOdds(done.Took, p.pending.expected)
 	}
 	done.Outcome = classify(p, done)
 	if done.Outcome == staleConnection {
-		svc.staleAt = now
+		svc.staleConnectionAt = now
 	}
 	if done.Outcome == Failed {
-		svc.learnFailure(done.TimedOut)
+		svc.recordFailure(done.TimedOut)
 	}
-	s.learnOutcome(now, done)
+	s.applyOutcome(now, done)
 	svc.totals.add(done)
-	svc.noteOutcome(now, done)
+	svc.recordOutcome(now, done)
 	if done.Outcome == Good && done.FirstByte > 0 {
-		t.learnTimes(now, s, svc, p, done)
+		t.recordLatency(now, s, svc, p, done)
 	}
-	if done.Load != nil && t.has(MechanismToldLoad) {
+	if done.Load != nil && t.has(MechanismReportedLoad) {
 		load := done.Load.Running + done.Load.Waiting
-		s.learnLoad(now, load)
-		s.toldNow = uint32(load) + 1
+		s.recordReportedLoad(now, load)
+		s.loadToForward = uint32(load) + 1
 	}
 }
 
 // classify tells outcomes apart by their time.
 func classify(p *Placement, done Done) Outcome {
 	switch {
-	case done.TimedOut && done.silence < overdue:
+	case done.TimedOut && done.unansweredLogOdds < overdueLogOdds:
 		return Abandoned // it had too little time to say much
-	case done.Outcome == Failed && done.FirstByte > quickError(p):
+	case done.Outcome == Failed && done.FirstByte > fastErrorLimit(p):
 		return lateError
-	case done.Outcome == Failed && done.Reused && done.Took < quickError(p):
+	case done.Outcome == Failed && done.Reused && done.Took < fastErrorLimit(p):
 		return staleConnection
 	default:
 		return done.Outcome
 	}
 }
 
-// learnTimes takes the time of a good answer.
-func (t *Table) learnTimes(now time.Time, s *server, svc *service, p *Placement, done Done) {
-	svc.times.add(float64(done.FirstByte) / float64(p.pending.expected))
-	s.learnSlowness(done.slowness)
+// recordLatency takes the time of a good answer.
+func (t *Table) recordLatency(now time.Time, s *server, svc *service, p *Placement, done Done) {
+	svc.latencies.add(float64(done.FirstByte) / float64(p.pending.expected))
+	s.recordSlowness(done.slowness)
 	atIdle := time.Duration(done.slowness * float64(p.pending.work))
-	t.route(svc, p.group).learn(now, atIdle, float64(done.Bytes))
-	svc.usual += time.Duration(serviceGain * float64(atIdle-svc.usual))
+	t.route(svc, p.group).record(now, atIdle, float64(done.Bytes))
+	svc.typicalLatency += time.Duration(serviceLatencyWeight * float64(atIdle-svc.typicalLatency))
 }
 
-// learnOutcome takes an outcome.
-func (s *server) learnOutcome(now time.Time, done Done) {
+// applyOutcome takes an outcome.
+func (s *server) applyOutcome(now time.Time, done Done) {
 	s.counts.add(done)
 	switch done.Outcome {
 	case Good:
-		s.spell.good(now)
+		s.health.observeSuccess(now)
 		s.pathFailures = 0
 		s.pathUntil = time.Time{}
 	case Abandoned:
-		s.counts.silentMillinats += uint64(1000 * max(done.silence, 0))
-		s.learnSilence(now, done.silence)
+		s.counts.silentMillinats += uint64(1000 * max(done.unansweredLogOdds, 0))
+		s.recordUnanswered(now, done.unansweredLogOdds)
 	case Failed:
-		s.spell.failed(now)
+		s.health.observeFailure(now)
 		s.failedAt = now
-		s.failing = true
+		s.failureUnsent = true
 	case lateError, staleConnection:
-		s.spell.lateError(now)
+		s.health.observeLateError(now)
 	case Unreachable:
-		s.spell.unreachable(now)
-		s.failing = true
-		hold := pathHold << min(s.pathFailures, 8)
+		s.health.observeUnreachable(now)
+		s.failureUnsent = true
+		hold := pathBackoff << min(s.pathFailures, 8)
 		s.pathFailures++
-		s.pathUntil = now.Add(min(hold, maxPathHold))
+		s.pathUntil = now.Add(min(hold, maxPathBackoff))
 	}
 }
 
-// learnSilence takes the evidence of a request that was given up unanswered.
-func (s *server) learnSilence(now time.Time, silence float64) {
-	s.spell.silent(now, silence)
-	if silence > overdue {
+// recordUnanswered takes the evidence of a request that was given up unanswered.
+func (s *server) recordUnanswered(now time.Time, silence float64) {
+	s.health.observeUnanswered(now, silence)
+	if silence > overdueLogOdds {
 		s.failedAt = now
 	}
 }
 
-// quickError is the time up to which an error comes too soon to be the
+// fastErrorLimit is the time up to which an error comes too soon to be the
 // request's own: the server did not work on it. Servers in a spell of failures
 // answer errors at once; an error that belongs to a request takes its work.
-func quickError(p *Placement) time.Duration {
+func fastErrorLimit(p *Placement) time.Duration {
 	return time.Duration(QuickErrorShare * float64(p.pending.work) * p.pending.slowness)
 }
--- a/internal/policy/pick.go
+++ b/internal/policy/pick.go
@@ -38,37 +38,37 @@
 const (
 	// defaultObjective is the latency objective of a route that has none.
 	defaultObjective = time.Second
-	// lateAt and lateWidth shape the chance that an answer is late: even odds
-	// where the expected time is lateAt of the objective.
-	lateAt    = 0.9
-	lateWidth = 0.15
-	// slowness is the cost of an answer that takes the whole objective and is
+	// lateMidpoint and lateWidth shape the chance that an answer is late: even odds
+	// where the expected time is lateMidpoint of the objective.
+	lateMidpoint = 0.9
+	lateWidth    = 0.15
+	// slowAnswerCost is the cost of an answer that takes the whole objective and is
 	// not late, growing with the square.
-	slowness = 0.15
-	// spread is the cost of a full server against an empty one, so that load is
+	slowAnswerCost = 0.15
+	// loadSpreadCost is the cost of a full server against an empty one, so that load is
 	// even where nothing else differs.
-	spread = 0.03
-	// jitter keeps hosts with equal views from choosing alike.
-	jitter = 0.02
-	// lowWeight is the cost of a server of weight 0.
-	lowWeight = 0.3
-	// queuePerSlot times its slots is how many requests a server may have before
+	loadSpreadCost = 0.03
+	// jitterCost keeps hosts with equal views from choosing alike.
+	jitterCost = 0.02
+	// zeroWeightCost is the cost of a server of weight 0.
+	zeroWeightCost = 0.3
+	// maxRequestsPerSlot times its slots is how many requests a server may have before
 	// it is held for full. Servers queue a few requests themselves.
-	queuePerSlot = 4
-	// coldFactor is how much slower a server is just after its start.
-	coldFactor = 2.0
-	// overflowCost is the cost of the best server of the subset, in requests lost, above
+	maxRequestsPerSlot = 4
+	// coldSlowdown is how much slower a server is just after its start.
+	coldSlowdown = 2.0
+	// overflowThreshold is the cost of the best server of the subset, in requests lost, above
 	// which the others are compared too. A server of which nothing is known costs about
 	// as much, for the chance that it is in a spell.
-	overflowCost = 0.35
+	overflowThreshold = 0.35
 	// overflowSample bounds the servers outside the subset that one pick compares: a pick
 	// must not cost more where a service has thousands of servers.
 	overflowSample = 128
-	// limitedCost is the cost of a server that names a rate limit: others are asked first
+	// rateLimitedCost is the cost of a server that names a rate limit: others are asked first
 	// while they serve.
-	limitedCost = 0.1
-	// blocked is the cost of a server that this host cannot reach now.
-	blocked = 1000.0
+	rateLimitedCost = 0.1
+	// blockedPathCost is the cost of a server that this host cannot reach now.
+	blockedPathCost = 1000.0
 
 	bytesPerMegabyte = 1 << 20
 )
@@ -140,20 +140,20 @@
 	best := t.choose(now, view, req)
 	svc := t.service(req.Service)
 	if best.server == nil {
-		return nil, t.none(req, best.eligible)
+		return nil, t.noServerError(req, best.eligible)
 	}
-	t.notePriority(now, svc, req)
+	t.recordPriority(now, svc, req)
 	if err := t.admit(now, svc, best, req); err != nil {
 		return nil, err
 	}
-	return t.take(now, svc, best, req), nil
+	return t.place(now, svc, best, req), nil
 }
 
 // choice is the server that costs least, nil if there is none, and how many
 // might have had the request.
 type choice struct {
 	server   *world.BackendView
-	row      *server
+	state    *server
 	cost     float64
 	eligible int
 }
@@ -167,73 +167,73 @@
 	if req.Idempotent {
 		spent = t.spentAllowance(now, req.Service, req.Fleet)
 	}
-	weigh := weighing{
+	inputs := comparison{
 		now:     now,
 		svc:     svc,
 		req:     req,
-		need:    t.breadth(now, view, req, spent),
+		need:    t.coverage(now, view, req, spent),
 		failure: t.failureCost(req, spent),
 	}
-	t.weigh(weigh, view.Candidates(), &best)
-	if view.Subset != nil && len(view.Subset) < len(view.Backends) && best.cost > overflowCost {
-		t.overflow(weigh, view.Backends, &best)
+	t.compare(inputs, view.Candidates(), &best)
+	if view.Subset != nil && len(view.Subset) < len(view.Backends) && best.cost > overflowThreshold {
+		t.overflow(inputs, view.Backends, &best)
 	}
 	return best
 }
 
 // overflow compares servers of the whole service: where they are many some from a random one on,
 // and all of them only if none of these may have the request.
-func (t *Table) overflow(w weighing, servers []world.BackendView, best *choice) {
+func (t *Table) overflow(in comparison, servers []world.BackendView, best *choice) {
 	if len(servers) > overflowSample {
 		first := t.conf.Random.IntN(len(servers))
 		end := min(first+overflowSample, len(servers))
-		t.weigh(w, servers[first:end], best)
-		t.weigh(w, servers[:overflowSample-(end-first)], best)
+		t.compare(in, servers[first:end], best)
+		t.compare(in, servers[:overflowSample-(end-first)], best)
 		if best.server != nil {
 			return
 		}
 	}
 	best.eligible = 0
-	t.weigh(w, servers, best)
+	t.compare(in, servers, best)
 }
 
-// weighing is what servers are compared by.
-type weighing struct {
+// comparison is what servers are compared by.
+type comparison struct {
 	now     time.Time
 	svc     *service
 	req     Request
-	need    breadth
+	need    coverage
 	failure float64 // the cost of a failed try
 }
 
-// weigh puts the server that costs least in best, if it costs less.
-func (t *Table) weigh(w weighing, servers []world.BackendView, best *choice) {
+// compare puts the server that costs least in best, if it costs less.
+func (t *Table) compare(in comparison, servers []world.BackendView, best *choice) {
 	for i := range servers {
 		b := &servers[i]
-		if !w.req.allows(b) {
+		if !in.req.allows(b) {
 			continue
 		}
 		best.eligible++
-		s := t.row(w.now, key{w.req.Service, b.ID}, b)
-		load := s.load(w.now)
-		if load >= float64(b.Slots*queuePerSlot) || s.inFlight > 0 && t.returnsOneByOne(w.req, b) {
+		s := t.state(in.now, key{in.req.Service, b.ID}, b)
+		load := s.load(in.now)
+		if load >= float64(b.Slots*maxRequestsPerSlot) || s.inFlight > 0 && t.returnsOneByOne(in.req, b) {
 			continue
 		}
-		cost := t.cost(w.now, w.svc, s, b, load, w.req) + w.failure*s.failure(w.now, w.svc)
-		if b.DataCentre == w.req.DataCentre && t.has(MechanismBreadth) {
-			cost -= s.breadthGain(w.now, w.svc, w.need)
+		cost := t.cost(in.now, in.svc, s, b, load, in.req) + in.failure*s.failureProbability(in.now, in.svc)
+		if b.DataCentre == in.req.DataCentre && t.has(MechanismBreadth) {
+			cost -= s.coverageBonus(in.now, in.svc, in.need)
 		}
 		if cost < best.cost {
-			best.server, best.row, best.cost = b, s, cost
+			best.server, best.state, best.cost = b, s, cost
 		}
 	}
 }
 
-// take gives a request its place at the chosen server.
-func (t *Table) take(now time.Time, svc *service, best choice, req Request) *Placement {
-	s := best.row
+// place gives a request its place at the chosen server.
+func (t *Table) place(now time.Time, svc *service, best choice, req Request) *Placement {
+	s := best.state
 	load := s.load(now)
-	waiting := &pending{since: now, estimate: s.estimate(now, svc, t.usual(svc, req.Group), load), slowness: s.slowness}
+	waiting := &pending{since: now, estimate: s.estimate(now, svc, t.typicalLatency(svc, req.Group), load), slowness: s.slowness}
 	placement := &Placement{
 		Server:  *best.server,
 		Belief:  s.belief(now, svc),
@@ -245,17 +245,17 @@
 		pending: waiting,
 
 		objectiveAt: now.Add(req.objectiveLeft(now)),
-		use:         s.noteUse(now),
+		use:         s.recordUse(now),
 	}
-	svc.noteSends(now, 1)
+	svc.recordSends(now, 1)
 	s.inFlight++
 	s.pending = append(s.pending, waiting)
 	s.dirty = true
-	svc.noteSent(now, t.conf.Retry.Window, s, req)
+	svc.recordSend(now, t.conf.Retry.Window, s, req)
 	return placement
 }
 
-func (t *Table) none(req Request, eligible int) error {
+func (t *Table) noServerError(req Request, eligible int) error {
 	if eligible == 0 {
 		return errs.New(errs.KindNoBackend, "no backend server of "+req.Service+" may take this request", "repeat it after the time in Retry-After")
 	}
@@ -264,27 +264,27 @@
 
 // RetryAfter is when a refused request should come back: one request's time.
 func (t *Table) RetryAfter(service string) time.Duration {
-	return t.service(service).usual
+	return t.service(service).typicalLatency
 }
 
 // cost is the expected cost of a choice.
 func (t *Table) cost(now time.Time, svc *service, s *server, b *world.BackendView, load float64, req Request) float64 {
 	rule := t.conf.Cost
 	slots := float64(max(b.Slots, 1))
-	cost := rule.lateness(s.estimate(now, svc, t.usual(svc, req.Group), load).expected, req.Objective)
-	cost += spread*load/slots + jitter*t.conf.Random.Float64() + lowWeight*(1-b.Weight)
+	cost := rule.latencyCost(s.estimate(now, svc, t.typicalLatency(svc, req.Group), load).expected, req.Objective)
+	cost += loadSpreadCost*load/slots + jitterCost*t.conf.Random.Float64() + zeroWeightCost*(1-b.Weight)
 	if req.isLimited(b) {
-		cost += limitedCost
+		cost += rateLimitedCost
 	}
-	return cost + s.pathCost(now) + t.crossing(b, req)
+	return cost + s.pathCost(now) + t.crossDataCentreCost(b, req)
 }
 
-// crossing is the cost of going to another data centre, 0 for a server of this one.
-func (t *Table) crossing(b *world.BackendView, req Request) float64 {
-	if b.DataCentre == req.DataCentre || !t.has(MechanismDataCentre) {
+// crossDataCentreCost is the cost of going to another data centre, 0 for a server of this one.
+func (t *Table) crossDataCentreCost(b *world.BackendView, req Request) float64 {
+	if b.DataCentre == req.DataCentre || !t.has(MechanismOwnDataCentre) {
 		return 0
 	}
-	return t.conf.Cost.OtherDataCentre + t.conf.Cost.PerMegabyte*t.bytes(req.Group)/bytesPerMegabyte
+	return t.conf.Cost.OtherDataCentre + t.conf.Cost.PerMegabyte*t.typicalBytes(req.Group)/bytesPerMegabyte
 }
 
 // failureCost is the cost of a failed try: the request is lost, unless it can
@@ -298,20 +298,20 @@
 	return rule.IdempotentFailure + spent*(rule.Failure-rule.IdempotentFailure)
 }
 
-// lateness is the cost of an answer that is expected to take some time.
-func (r CostRule) lateness(expected, objective time.Duration) float64 {
+// latencyCost is the cost of an answer that is expected to take some time.
+func (r CostRule) latencyCost(expected, objective time.Duration) float64 {
 	if objective <= 0 {
 		objective = defaultObjective
 	}
 	part := float64(expected) / float64(objective)
-	late := 1 / (1 + math.Exp((lateAt-part)/lateWidth))
-	return slowness*part*part + r.Late*late
+	late := 1 / (1 + math.Exp((lateMidpoint-part)/lateWidth))
+	return slowAnswerCost*part*part + r.Late*late
 }
 
 // pathCost keeps this host off a server that it cannot reach.
 func (s *server) pathCost(now time.Time) float64 {
 	if now.Before(s.pathUntil) {
-		return blocked
+		return blockedPathCost
 	}
 	return 0
 }
--- a/internal/policy/report.go
+++ b/internal/policy/report.go
@@ -14,29 +14,29 @@
 // Changes returns what the other hosts of the data centre must be told, and
 // what all hosts must be: the servers that failed. Both are told once; what
 // was told before is repeated by Refresh and by the next change.
-func (t *Table) Changes(now time.Time) (near, failing []*peerpb.BackendLoad) {
+func (t *Table) Changes(now time.Time) (local, failures []*peerpb.BackendLoad) {
 	for k, s := range t.servers {
-		if !s.dirty && !s.failing {
+		if !s.dirty && !s.failureUnsent {
 			continue
 		}
 		row := s.report(now, k)
 		if s.dirty {
-			near = append(near, row)
+			local = append(local, row)
 		}
-		if s.failing {
-			failing = append(failing, failuresOf(row))
+		if s.failureUnsent {
+			failures = append(failures, failuresOf(row))
 		}
-		s.dirty, s.failing = false, false
+		s.dirty, s.failureUnsent = false, false
 	}
 	for name, svc := range t.services {
 		if svc.dirty {
-			near = append(near, svc.totals.row(key{service: name}))
+			local = append(local, svc.totals.message(key{service: name}))
 			svc.dirty = false
 		}
 	}
-	slices.SortFunc(near, byServer)
-	slices.SortFunc(failing, byServer)
-	return near, failing
+	slices.SortFunc(local, byServer)
+	slices.SortFunc(failures, byServer)
+	return local, failures
 }
 
 // byServer orders reports, so that the same calls bring the same reports.
@@ -48,23 +48,23 @@
 // forgets those that nothing has been heard of for long. It reports whether
 // there is something to tell.
 func (t *Table) Refresh(now time.Time) (dirty bool) {
-	t.forgetRoutes(now)
+	t.expireRoutes(now)
 	for _, svc := range t.services {
-		svc.forgetNear(now)
+		svc.expirePeers(now)
 	}
 	for k, s := range t.servers {
 		if s.inFlight > 0 {
 			s.dirty = true
 			dirty = true
-		} else if now.Sub(s.spell.at) > forgetAfter {
+		} else if now.Sub(s.health.at) > stateTTL {
 			delete(t.servers, k)
 		}
 	}
 	return dirty
 }
 
-// forgetAfter is long enough for the belief to have faded.
-const forgetAfter = 2 * time.Minute
+// stateTTL is long enough for the belief to have faded.
+const stateTTL = 2 * time.Minute
 
 // failuresOf is what the hosts of other data centres need: they do not share
 // this one's slots.
@@ -73,11 +73,11 @@
 }
 
 func (s *server) report(now time.Time, k key) *peerpb.BackendLoad {
-	row := s.counts.row(k)
+	row := s.counts.message(k)
 	row.OldestMs = uint32(s.oldestAge(now).Milliseconds())
 	row.InFlight = uint32(max(s.inFlight, 0))
-	row.ToldLoad = s.toldNow
-	s.toldNow = 0
+	row.ToldLoad = s.loadToForward
+	s.loadToForward = 0
 	return row
 }
 
@@ -85,94 +85,94 @@
 // host tells this one of all its requests; its in-flight counts are used only
 // then.
 func (t *Table) Report(now time.Time, host string, life uint64, loads []*peerpb.BackendLoad, near bool) {
-	t.meet(host, life)
+	t.resetOnRestart(host, life)
 	for _, l := range loads {
-		t.reportOne(now, host, l, near)
+		t.applyReport(now, host, l, near)
 	}
 }
 
-// meet forgets what an earlier life of a host told: its requests are gone.
-func (t *Table) meet(host string, life uint64) {
-	if t.lives[host] == life {
+// resetOnRestart forgets what an earlier life of a host told: its requests are gone.
+func (t *Table) resetOnRestart(host string, incarnation uint64) {
+	if t.incarnations[host] == incarnation {
 		return
 	}
-	t.lives[host] = life
+	t.incarnations[host] = incarnation
 	for _, s := range t.servers {
 		s.setInFlight(s.peers[host], 0)
 		delete(s.peers, host)
 	}
 	for _, svc := range t.services {
-		if h, known := svc.near[host]; known {
+		if h, known := svc.sharingHosts[host]; known {
 			h.counts = counts{} // they begin anew
 		}
 	}
 }
 
-func (t *Table) reportOne(now time.Time, host string, l *peerpb.BackendLoad, near bool) {
+func (t *Table) applyReport(now time.Time, host string, l *peerpb.BackendLoad, near bool) {
 	if l.Backend == "" {
 		if near {
-			t.service(l.Service).learnNear(now, t.conf.Retry.Window, host, countsOf(l))
+			t.service(l.Service).recordPeerTotals(now, t.conf.Retry.Window, host, countsFrom(l))
 		}
 		return
 	}
 	k := key{l.Service, l.Backend}
-	s := t.row(now, k, nil)
+	s := t.state(now, k, nil)
 	p, known := s.peers[host]
 	if !known {
 		p = &peerLoad{}
 		s.peers[host] = p
 	}
-	next := countsOf(l)
+	next := countsFrom(l)
 	if !known {
-		p.counts = next.history()
+		p.counts = next.withoutNewest()
 	}
-	if next.before(p.counts) {
+	if next.isOlderThan(p.counts) {
 		return // an older datagram that came late
 	}
 	if t.has(MechanismOutcomes) {
-		s.learnPeer(now, p.counts, next)
+		s.recordPeerOutcomes(now, p.counts, next)
 	}
 	if near {
-		t.service(l.Service).learnUse(now, s, p, next, !known)
+		t.service(l.Service).recordPeerUse(now, s, p, next, !known)
 	}
 	p.counts = next
 	p.at = now
 	if near && t.has(MechanismLoads) {
-		t.learnWaiting(now, k, s, p, l)
+		t.recordPeerInFlight(now, k, s, p, l)
 		if l.ToldLoad > 0 {
-			s.learnLoad(now, int(l.ToldLoad)-1)
+			s.recordReportedLoad(now, int(l.ToldLoad)-1)
 		}
 	}
 }
 
-// learnUse takes that another host has sent to a server, which it tells at once, or that it found
+// recordPeerUse takes that another host has sent to a server, which it tells at once, or that it found
 // the server out of its reach.
-func (svc *service) learnUse(now time.Time, s *server, p *peerLoad, next counts, first bool) {
+func (svc *service) recordPeerUse(now time.Time, s *server, p *peerLoad, next counts, first bool) {
 	sends := next.requests + next.retries - p.counts.requests - p.counts.retries
 	unreached := next.unreachable - p.counts.unreachable
 	switch {
 	case first:
-		svc.noteSends(now, 1)
-		p.use = s.noteUse(now)
+		svc.recordSends(now, 1)
+		p.use = s.recordUse(now)
 	case sends > unreached:
-		svc.noteSends(now, sends-unreached)
-		p.use = s.noteUse(now)
+		svc.recordSends(now, sends-unreached)
+		p.use = s.recordUse(now)
 	case unreached > 0:
-		s.takeBackUse(p.use)
+		s.undoUse(p.use)
 	}
 }
 
-// learnWaiting takes what requests of another host wait at a server. How long the
+// recordPeerInFlight takes what requests of another host wait at a server. How long the
 // oldest was expected to take is estimated from the load that is known here and
 // the usual time of the service: its route is not told.
-func (t *Table) learnWaiting(now time.Time, k key, s *server, p *peerLoad, l *peerpb.BackendLoad) {
+func (t *Table) recordPeerInFlight(now time.Time, k key, s *server, p *peerLoad, l *peerpb.BackendLoad) {
 	oldest := now.Add(-time.Duration(l.OldestMs) * time.Millisecond)
-	began := p.inFlight == 0 || oldest.Sub(p.oldest) > otherRequest
+	began := p.inFlight == 0 || oldest.Sub(p.oldest) > newOldestThreshold
 	s.setInFlight(p, int(l.InFlight))
 	p.oldest = oldest
 	if p.inFlight > 0 && began {
 		svc := t.service(k.service)
-		p.expected = s.estimate(now, svc, svc.usual, s.load(now)-1).expected
+		p.expected = s.estimate(now, svc, svc.typicalLatency, s.load(now)-1).expected
 	}
 }
 
@@ -183,42 +183,42 @@
 	}
 	switch {
 	case p.inFlight == 0 && n > 0:
-		s.busy = append(s.busy, p)
+		s.busyPeers = append(s.busyPeers, p)
 	case p.inFlight > 0 && n == 0:
-		i := slices.Index(s.busy, p)
-		s.busy = slices.Delete(s.busy, i, i+1)
+		i := slices.Index(s.busyPeers, p)
+		s.busyPeers = slices.Delete(s.busyPeers, i, i+1)
 	}
 	p.inFlight = n
 }
 
-// otherRequest is by how much the oldest request of a host must have begun later
+// newOldestThreshold is by how much the oldest request of a host must have begun later
 // for it to be another one; reports are some milliseconds under way.
-const otherRequest = 20 * time.Millisecond
+const newOldestThreshold = 20 * time.Millisecond
 
-// maxNews bounds the outcomes taken from one datagram: more are a backlog,
+// maxOutcomesPerReport bounds the outcomes taken from one datagram: more are a backlog,
 // whose order and time are lost.
-const maxNews = 4
+const maxOutcomesPerReport = 4
 
-func (s *server) learnPeer(now time.Time, was, is counts) {
-	good := is.good - was.good
-	for range min(good, maxNews) {
-		s.spell.good(now)
+func (s *server) recordPeerOutcomes(now time.Time, previous, current counts) {
+	good := current.good - previous.good
+	for range min(good, maxOutcomesPerReport) {
+		s.health.observeSuccess(now)
 	}
-	for range min(is.failed-was.failed, maxNews) {
-		s.spell.failed(now)
+	for range min(current.failed-previous.failed, maxOutcomesPerReport) {
+		s.health.observeFailure(now)
 		s.failedAt = now
 	}
-	weak := is.lateErrors - was.lateErrors + is.staleConnections - was.staleConnections
-	for range min(weak, maxNews) {
-		s.spell.lateError(now)
+	weak := current.lateErrors - previous.lateErrors + current.staleConnections - previous.staleConnections
+	for range min(weak, maxOutcomesPerReport) {
+		s.health.observeLateError(now)
 	}
-	if is.unreachable > was.unreachable {
-		s.spell.unreachable(now)
+	if current.unreachable > previous.unreachable {
+		s.health.observeUnreachable(now)
 	}
-	if is.silentMillinats > was.silentMillinats {
-		s.learnSilence(now, min(float64(is.silentMillinats-was.silentMillinats)/1000, maxSilence))
+	if current.silentMillinats > previous.silentMillinats {
+		s.recordUnanswered(now, min(float64(current.silentMillinats-previous.silentMillinats)/1000, maxUnansweredLogOdds))
 	}
 	if good > 0 {
-		s.learnSlowness(float64(is.goodSlowness-was.goodSlowness) / 1e6 / float64(good))
+		s.recordSlowness(float64(current.goodSlowness-previous.goodSlowness) / 1e6 / float64(good))
 	}
 }
--- a/internal/policy/restart_test.go
+++ b/internal/policy/restart_test.go
@@ -8,14 +8,14 @@
 // A server whose process started again under its ID is a new one: no belief, load, time or
 // blocked path of the earlier process holds, and what was in flight there says nothing of
 // the new one.
-func TestRestartUnderTheSameIDForgetsTheServer(t *testing.T) {
+func TestRestartResetsServerState(t *testing.T) {
 	table, now := newTable()
 	v := view(2)
 	v.Backends[0].Started, v.Backends[1].Started = 1000, 1000
 	for range 3 {
-		use(t, table, now, v, "b0", Done{Outcome: Failed, FirstByte: time.Millisecond})
+		sendTo(t, table, now, v, "b0", Done{Outcome: Failed, FirstByte: time.Millisecond})
 	}
-	use(t, table, now, v, "b0", Done{Outcome: Unreachable})
+	sendTo(t, table, now, v, "b0", Done{Outcome: Unreachable})
 	v.Backends = v.Backends[:1]
 	table.servers[key{"s", "b0"}].pathUntil = time.Time{}
 	inFlight := mustPick(t, table, now, v, Request{First: true})
@@ -30,7 +30,7 @@
 	if placed.Load != 0 || row.inFlight != 1 {
 		t.Errorf("load %.1f when picked, %d in flight: the earlier process's request counts", placed.Load, row.inFlight)
 	}
-	if placed.Belief > 2*newServer || !row.failedAt.IsZero() || row.pathFailures != 0 || row.slowness != 1 {
+	if placed.Belief > 2*newServerBelief || !row.failedAt.IsZero() || row.pathFailures != 0 || row.slowness != 1 {
 		t.Errorf("belief %.2f, %+v: the earlier process's failures count", placed.Belief, row)
 	}
 	if !row.coldUntil.Equal(now.Add(time.Second)) {
@@ -48,12 +48,12 @@
 }
 
 // An entry that does not say when its process started is no restart.
-func TestUnknownStartIsNoRestart(t *testing.T) {
+func TestUnknownStartTimeIsNoRestart(t *testing.T) {
 	table, now := newTable()
 	v := view(1)
 	for _, started := range []int64{0, 1000, 0, 1000} {
 		v.Backends[0].Started = started
-		use(t, table, now, v, "b0", Done{Outcome: Failed, FirstByte: time.Millisecond})
+		sendTo(t, table, now, v, "b0", Done{Outcome: Failed, FirstByte: time.Millisecond})
 	}
 	if row := table.servers[key{"s", "b0"}]; row.process != 0 || row.counts.failed != 4 {
 		t.Errorf("%d processes, %d failures", row.process+1, row.counts.failed)
@@ -61,7 +61,7 @@
 }
 
 // An idempotent request at a process that is gone is worth a copy at once.
-func TestRequestOfAnEarlierProcessIsLost(t *testing.T) {
+func TestRequestToReplacedProcessIsLost(t *testing.T) {
 	table, now := newTable()
 	v := view(2)
 	v.Backends[0].Started = 1000
@@ -69,13 +69,13 @@
 	req := Request{Service: "s", DataCentre: "dc1", Idempotent: true, First: true, Asked: now, Deadline: now.Add(3 * time.Second), Objective: time.Second}
 	waiting := mustPick(t, table, now, v, req)
 	svc := table.service("s")
-	if loss := table.lossWaiting(now, svc, req, waiting); loss > 0.5 {
+	if loss := table.lossIfWaiting(now, svc, req, waiting); loss > 0.5 {
 		t.Errorf("loss %.2f before the restart", loss)
 	}
 	again := view(1)
 	again.Backends[0].Started = 2000
-	table.row(now, key{"s", "b0"}, &again.Backends[0])
-	if loss := table.lossWaiting(now, svc, req, waiting); loss != 1 {
+	table.state(now, key{"s", "b0"}, &again.Backends[0])
+	if loss := table.lossIfWaiting(now, svc, req, waiting); loss != 1 {
 		t.Errorf("loss %.2f after the restart", loss)
 	}
 }
--- a/internal/policy/retries.go
+++ b/internal/policy/retries.go
@@ -23,9 +23,9 @@
 	// retrySafety is the part of the allowance that is spent: reports may be
 	// lost, and hosts may decide at the same moment.
 	retrySafety = 0.75
-	// heardFor is how long a host counts as heard of a service after a report. At two
+	// peerTotalsTTL is how long a host counts as heard of a service after a report. At two
 	// requests a second one host in 400 has nothing to tell for so long.
-	heardFor = 3 * time.Second
+	peerTotalsTTL = 3 * time.Second
 )
 
 // Fleet is how many hosts there are.
@@ -36,65 +36,65 @@
 	All int
 }
 
-// noteSent counts a request that is sent to a server.
-func (svc *service) noteSent(now time.Time, length time.Duration, s *server, req Request) {
+// recordSend counts a request that is sent to a server.
+func (svc *service) recordSend(now time.Time, length time.Duration, s *server, req Request) {
 	svc.dirty = true
 	switch {
 	case req.Repeat:
 		s.counts.retries++
 		svc.totals.retries++
-		svc.own.retries.add(now, length, 1)
+		svc.ownSends.retries.add(now, length, 1)
 	case req.First:
 		s.counts.requests++
 		svc.totals.requests++
-		svc.own.requests.add(now, length, 1)
+		svc.ownSends.requests.add(now, length, 1)
 	}
 }
 
-// sent is what one host sent to a service's servers in the last window of RetryRule.
-type sent struct{ requests, retries window }
+// sendCounts is what one host sendCounts to a service's servers in the last window of RetryRule.
+type sendCounts struct{ requests, retries window }
 
-// nearHost is what a host that shares the allowance of a service last told of it.
-type nearHost struct {
-	counts counts
-	sent   sent
-	heard  time.Time
+// peerTotals is what a host that shares the allowance of a service last told of it.
+type peerTotals struct {
+	counts     counts
+	sends      sendCounts
+	receivedAt time.Time
 }
 
-// learnNear counts what a host that shares the service's allowance did since its last
+// recordPeerTotals counts what a host that shares the service's allowance did since its last
 // report. Each datagram brings the totals, so that the next one makes up for a lost one.
-func (svc *service) learnNear(now time.Time, length time.Duration, host string, is counts) {
-	h, known := svc.near[host]
+func (svc *service) recordPeerTotals(now time.Time, length time.Duration, host string, current counts) {
+	h, known := svc.sharingHosts[host]
 	if !known {
-		h = &nearHost{}
-		svc.near[host] = h
+		h = &peerTotals{}
+		svc.sharingHosts[host] = h
 	}
-	was := h.counts
-	if is.before(was) {
+	previous := h.counts
+	if current.isOlderThan(previous) {
 		return // an older datagram that came late
 	}
-	h.counts = is
-	h.heard = now
-	if !known && is.requests+is.retries > maxNews {
+	h.counts = current
+	h.receivedAt = now
+	if !known && current.requests+current.retries > maxOutcomesPerReport {
 		return // what was before this host heard of it is long past
 	}
-	if is.staleConnections > was.staleConnections {
-		svc.staleAt = now
+	if current.staleConnections > previous.staleConnections {
+		svc.staleConnectionAt = now
 	}
-	h.sent.requests.add(now, length, int(is.requests-was.requests))
-	h.sent.retries.add(now, length, int(is.retries-was.retries))
-	svc.served.add(now, troubleWindow, int(is.good-was.good))
-	svc.late.add(now, troubleWindow, int(is.late-was.late))
-	svc.unserved.add(now, troubleWindow, int(is.unserved()-was.unserved()))
-	svc.limited.add(now, troubleWindow, int(is.limited-was.limited))
+	h.sends.requests.add(now, length, int(current.requests-previous.requests))
+	h.sends.retries.add(now, length, int(current.retries-previous.retries))
+	svc.served.add(now, outcomeWindow, int(current.good-previous.good))
+	svc.late.add(now, outcomeWindow, int(current.late-previous.late))
+	svc.unserved.add(now, outcomeWindow, int(current.unserved()-previous.unserved()))
+	svc.limited.add(now, outcomeWindow, int(current.limited-previous.limited))
 }
 
-// forgetNear drops hosts that have not been heard for long: they may be gone, or share
+// expirePeers drops hosts that have not been heard for long: they may be gone, or share
 // with others now.
-func (svc *service) forgetNear(now time.Time) {
-	for host, h := range svc.near {
-		if now.Sub(h.heard) > forgetAfter {
-			delete(svc.near, host)
+func (svc *service) expirePeers(now time.Time) {
+	for host, h := range svc.sharingHosts {
+		if now.Sub(h.receivedAt) > stateTTL {
+			delete(svc.sharingHosts, host)
 		}
 	}
 }
@@ -127,27 +127,27 @@
 	rule := t.conf.Retry
 	all := float64(max(fleet.All, fleet.Near, 1))
 	age := now.Sub(t.started)
-	if age < rule.Window && t.has(MechanismYoungHosts) {
+	if age < rule.Window && t.has(MechanismNewHosts) {
 		// A young host does not know what the others spent before its start, and
 		// may have spent itself before it was killed: it keeps to its own part, and
 		// its reserve grows with its age.
 		reserve := rule.Reserve / all * age.Seconds() / rule.Window.Seconds()
-		return retriesUsed{svc.own.retries.sum(now, rule.Window), rule.allowance(svc.own.requests.sum(now, rule.Window), reserve)}
+		return retriesUsed{svc.ownSends.retries.sum(now, rule.Window), rule.allowance(svc.ownSends.requests.sum(now, rule.Window), reserve)}
 	}
-	requests, retries, hosts := svc.shared(now, rule.Window)
+	requests, retries, hosts := svc.sharedSends(now, rule.Window)
 	reserve := rule.Reserve * float64(min(hosts, max(fleet.Near, 1))) / all
 	return retriesUsed{retries, rule.allowance(requests, reserve)}
 }
 
-// shared sums what this host and those that it hears sent in the last window. What a
+// sharedSends sums what this host and those that it hears sent in the last window. What a
 // host is due that is not heard is that host's own to spend: else a fleet that is cut
 // apart spends its allowance more than once.
-func (svc *service) shared(now time.Time, length time.Duration) (requests, retries, hosts int) {
-	requests, retries, hosts = svc.own.requests.sum(now, length), svc.own.retries.sum(now, length), 1
-	for _, h := range svc.near {
-		if now.Sub(h.heard) < heardFor {
-			requests += h.sent.requests.sum(now, length)
-			retries += h.sent.retries.sum(now, length)
+func (svc *service) sharedSends(now time.Time, length time.Duration) (requests, retries, hosts int) {
+	requests, retries, hosts = svc.ownSends.requests.sum(now, length), svc.ownSends.retries.sum(now, length), 1
+	for _, h := range svc.sharingHosts {
+		if now.Sub(h.receivedAt) < peerTotalsTTL {
+			requests += h.sends.requests.sum(now, length)
+			retries += h.sends.retries.sum(now, length)
 			hosts++
 		}
 	}
--- a/internal/policy/routes.go
+++ b/internal/policy/routes.go
@@ -7,98 +7,98 @@
 // whether it is overdue, goes by the answers to its own route. How much slower than
 // others a server is, is one figure for all routes.
 const (
-	// routeGain is the least weight of one answer in the usual time and size of a
+	// minRouteWeight is the least weight of one answer in the usual time and size of a
 	// route; the first ones weigh more.
-	routeGain = 0.05
-	// priorRoute is how many answers the usual time of the service counts for.
-	priorRoute = 2
-	// knownAnswers are needed before requests are refused, or make room, by the usual
+	minRouteWeight = 0.05
+	// priorRouteAnswers is how many answers the usual time of the service counts for.
+	priorRouteAnswers = 2
+	// minRouteAnswers are needed before requests are refused, or make room, by the usual
 	// time of a route, and the newest must have come within knownFor: what is refused
 	// brings no answer, so that a wrong figure would never be put right.
-	knownAnswers = 3
-	knownFor     = 5 * time.Second
-	// slownessGain is the weight of one answer in the slowness of a server.
-	slownessGain = 0.2
-	// leastSlowness and mostSlowness bound what one answer can say of a server.
-	leastSlowness = 0.05
-	mostSlowness  = 20.0
+	minRouteAnswers = 3
+	routeLatencyTTL = 5 * time.Second
+	// slownessWeight is the weight of one answer in the slowness of a server.
+	slownessWeight = 0.2
+	// minSlowness and mostSlowness bound what one answer can say of a server.
+	minSlowness = 0.05
+	maxSlowness = 20.0
 )
 
 // route is what this host knows of the good answers to one route.
 type route struct {
-	answers int
-	newest  time.Time     // when the newest came
-	usual   time.Duration // to the header, at an idle server of usual speed
-	bytes   float64       // of the body
+	answers        int
+	newestAt       time.Time     // when the newest came
+	typicalLatency time.Duration // to the header, at an idle server of usual speed
+	bytes          float64       // of the body
 }
 
-// learn notes a good answer. The first ones are weighed with what is usual for the
+// record notes a good answer. The first ones are weighed with what is usual for the
 // service: any of them may be an odd one.
-func (r *route) learn(now time.Time, atIdle time.Duration, bytes float64) {
+func (r *route) record(now time.Time, atIdle time.Duration, bytes float64) {
 	r.answers++
-	r.newest = now
-	gain := max(1/float64(r.answers+priorRoute), routeGain)
-	r.usual += time.Duration(gain * float64(atIdle-r.usual))
-	r.bytes += max(1/float64(r.answers), routeGain) * (bytes - r.bytes)
+	r.newestAt = now
+	gain := max(1/float64(r.answers+priorRouteAnswers), minRouteWeight)
+	r.typicalLatency += time.Duration(gain * float64(atIdle-r.typicalLatency))
+	r.bytes += max(1/float64(r.answers), minRouteWeight) * (bytes - r.bytes)
 }
 
 // route returns the row of a route, made if absent.
 func (t *Table) route(svc *service, group string) *route {
 	r, ok := t.routes[group]
 	if !ok {
-		r = &route{usual: svc.usual}
+		r = &route{typicalLatency: svc.typicalLatency}
 		t.routes[group] = r
 	}
 	return r
 }
 
-// usual is the usual time of a request's route, that of its service if the route
+// typicalLatency is the typicalLatency time of a request's route, that of its service if the route
 // has had no answer here.
-func (t *Table) usual(svc *service, group string) time.Duration {
-	if r, ok := t.routes[group]; ok && r.answers > 0 && t.has(MechanismRoutes) {
-		return r.usual
+func (t *Table) typicalLatency(svc *service, group string) time.Duration {
+	if r, ok := t.routes[group]; ok && r.answers > 0 && t.has(MechanismRouteLatency) {
+		return r.typicalLatency
 	}
-	return svc.usual
+	return svc.typicalLatency
 }
 
-// knownNow returns a route whose usual time is known by answers of late, nil if it
+// routeIfKnown returns a route whose usual time is known by answers of late, nil if it
 // is not.
-func (t *Table) knownNow(now time.Time, group string) *route {
+func (t *Table) routeIfKnown(now time.Time, group string) *route {
 	r, ok := t.routes[group]
-	if !ok || r.answers < knownAnswers || now.Sub(r.newest) > knownFor {
+	if !ok || r.answers < minRouteAnswers || now.Sub(r.newestAt) > routeLatencyTTL {
 		return nil
 	}
 	return r
 }
 
-// forgetRoutes drops routes without an answer for long: they may be gone.
-func (t *Table) forgetRoutes(now time.Time) {
+// expireRoutes drops routes without an answer for long: they may be gone.
+func (t *Table) expireRoutes(now time.Time) {
 	for group, r := range t.routes {
-		if now.Sub(r.newest) > forgetAfter {
+		if now.Sub(r.newestAt) > stateTTL {
 			delete(t.routes, group)
 		}
 	}
 }
 
-// bytes is the usual size of an answer to a route, 0 if unknown.
-func (t *Table) bytes(group string) float64 {
+// typicalBytes is the usual size of an answer to a route, 0 if unknown.
+func (t *Table) typicalBytes(group string) float64 {
 	if r, ok := t.routes[group]; ok {
 		return r.bytes
 	}
 	return 0
 }
 
-// learnSlowness notes how slow answers were, 1 for the usual time.
-func (s *server) learnSlowness(ratio float64) {
-	ratio = min(max(ratio, leastSlowness), mostSlowness)
-	s.slowness += slownessGain * (ratio - s.slowness)
+// recordSlowness notes how slow answers were, 1 for the usual time.
+func (s *server) recordSlowness(ratio float64) {
+	ratio = min(max(ratio, minSlowness), maxSlowness)
+	s.slowness += slownessWeight * (ratio - s.slowness)
 }
 
 // estimate is how long a request takes to its header at a server, queue included.
 type estimate struct {
-	// atUsual is the time at a server of usual speed, expected that at this one.
-	atUsual  time.Duration
-	expected time.Duration
+	// atTypicalSpeed is the time at a server of usual speed, expected that at this one.
+	atTypicalSpeed time.Duration
+	expected       time.Duration
 	// work is the part of atUsual that is the request's own.
 	work time.Duration
 }
@@ -107,18 +107,18 @@
 // ahead of it, and by the server's slowness.
 func (s *server) estimate(now time.Time, svc *service, usual time.Duration, load float64) estimate {
 	e := estimate{work: max(usual, time.Microsecond)}
-	e.atUsual = e.work + time.Duration(float64(svc.usual)*s.queued(load))
+	e.atTypicalSpeed = e.work + time.Duration(float64(svc.typicalLatency)*s.queuedPerSlot(load))
 	slowness := s.slowness
 	if now.Before(s.coldUntil) {
-		slowness *= coldFactor
+		slowness *= coldSlowdown
 	}
-	e.expected = time.Duration(float64(e.atUsual) * slowness)
+	e.expected = time.Duration(float64(e.atTypicalSpeed) * slowness)
 	return e
 }
 
-// queued is how many requests must end at a server before one more begins, for
+// queuedPerSlot is how many requests must end at a server before one more begins, for
 // each slot.
-func (s *server) queued(load float64) float64 {
+func (s *server) queuedPerSlot(load float64) float64 {
 	slots := float64(max(s.slots, 1))
 	return max(load+1-slots, 0) / slots
 }
--- a/internal/policy/routes_test.go
+++ b/internal/policy/routes_test.go
@@ -7,7 +7,7 @@
 
 // Routes of one service differ in their work. What is usual, and so what is
 // overdue, goes by the request's own route.
-func TestUsualTimesGoByRoute(t *testing.T) {
+func TestLatencyIsTrackedPerRoute(t *testing.T) {
 	const short, long = 3 * time.Millisecond, 210 * time.Millisecond
 	table, now := newTable()
 	v := view(1)
@@ -18,19 +18,19 @@
 	}
 	svc, row := table.service("s"), table.servers[key{"s", "b0"}]
 	for group, want := range map[string]time.Duration{"short": short, "long": long} {
-		if got := table.usual(svc, group); got < want/2 || got > 2*want {
+		if got := table.typicalLatency(svc, group); got < want/2 || got > 2*want {
 			t.Errorf("%s: usual time %s, want about %s", group, got, want)
 		}
 	}
-	silenceAfter := func(group string, age time.Duration) float64 {
+	logOddsAfter := func(group string, age time.Duration) float64 {
 		p := mustPick(t, table, now, v, Request{First: true, Group: group})
 		defer table.Finish(now, p, Done{Outcome: Neutral})
-		return row.silence(now.Add(age), svc)
+		return row.unansweredLogOdds(now.Add(age), svc)
 	}
-	if evidence := silenceAfter("long", long/2); evidence > 0.2 {
+	if evidence := logOddsAfter("long", long/2); evidence > 0.2 {
 		t.Errorf("a long request counts as overdue after half of its usual time: log odds %.2f", evidence)
 	}
-	if evidence := silenceAfter("short", long/2); evidence < overdue {
+	if evidence := logOddsAfter("short", long/2); evidence < overdueLogOdds {
 		t.Errorf("a short request does not count as overdue after %s: log odds %.2f", long/2, evidence)
 	}
 }
--- a/internal/policy/silence_test.go
+++ b/internal/policy/silence_test.go
@@ -11,18 +11,18 @@
 
 const work = 200 * time.Millisecond
 
-// warm serves requests at all servers, so that usual times are known.
-func warm(t *testing.T, table *Table, now time.Time, v *world.ServiceView) {
+// warmUp serves requests at all servers, so that usual times are known.
+func warmUp(t *testing.T, table *Table, now time.Time, v *world.ServiceView) {
 	t.Helper()
 	for range 10 {
 		for _, b := range v.Backends {
-			use(t, table, now, v, b.ID, Done{Outcome: Good, FirstByte: work})
+			sendTo(t, table, now, v, b.ID, Done{Outcome: Good, FirstByte: work})
 		}
 	}
 }
 
-// only is a view of one server of v.
-func only(v *world.ServiceView, i int) *world.ServiceView {
+// singleServer is a view of one server of v.
+func singleServer(v *world.ServiceView, i int) *world.ServiceView {
 	return &world.ServiceView{Backends: v.Backends[i : i+1]}
 }
 
@@ -32,19 +32,19 @@
 	table, now := newTable()
 	neighbour, _ := newTable()
 	v := view(2)
-	warm(t, table, now, v)
-	warm(t, neighbour, now, v)
-	hung := mustPick(t, table, now, only(v, 0), Request{First: true})
+	warmUp(t, table, now, v)
+	warmUp(t, neighbour, now, v)
+	hung := mustPick(t, table, now, singleServer(v, 0), Request{First: true})
 	near, _ := table.Changes(now)
 	neighbour.Report(now, "h2", 1, near, true)
 	later := now.Add(4 * work)
 	for name, tab := range map[string]*Table{"the host": table, "its neighbour": neighbour} {
 		svc, row := tab.service("s"), tab.servers[key{"s", "b0"}]
-		before, after := row.spell.now(later), row.belief(later, svc)
+		before, after := row.health.probabilityAt(later), row.belief(later, svc)
 		if after < 5*before || after < 0.3 {
 			t.Errorf("%s: belief %.3f after four times the usual time, %.3f without the request that waits", name, after, before)
 		}
-		if early := row.belief(now.Add(work/2), svc); early > 1.1*row.spell.now(now.Add(work/2)) {
+		if early := row.belief(now.Add(work/2), svc); early > 1.1*row.health.probabilityAt(now.Add(work/2)) {
 			t.Errorf("%s: belief %.3f after half of the usual time", name, early)
 		}
 	}
@@ -63,16 +63,16 @@
 	table, now := newTable()
 	neighbour, _ := newTable()
 	v := view(1)
-	warm(t, table, now, v)
-	warm(t, neighbour, now, v)
+	warmUp(t, table, now, v)
+	warmUp(t, neighbour, now, v)
 	near, _ := table.Changes(now)
 	neighbour.Report(now, "h2", 1, near, true)
-	before := neighbour.servers[key{"s", "b0"}].spell.now(now)
-	use(t, table, now, v, "b0", Done{Outcome: Abandoned, Took: 4 * work})
+	before := neighbour.servers[key{"s", "b0"}].health.probabilityAt(now)
+	sendTo(t, table, now, v, "b0", Done{Outcome: Abandoned, Took: 4 * work})
 	near, _ = table.Changes(now)
 	neighbour.Report(now, "h2", 1, near, true)
 	for name, tab := range map[string]*Table{"the host": table, "its neighbour": neighbour} {
-		if belief := tab.servers[key{"s", "b0"}].spell.now(now); belief < 5*before {
+		if belief := tab.servers[key{"s", "b0"}].health.probabilityAt(now); belief < 5*before {
 			t.Errorf("%s: belief %.3f, %.3f before", name, belief, before)
 		}
 	}
@@ -82,24 +82,24 @@
 func TestShortDeadlineIsNoEvidence(t *testing.T) {
 	table, now := newTable()
 	v := view(1)
-	warm(t, table, now, v)
-	before := table.servers[key{"s", "b0"}].spell.now(now)
-	use(t, table, now, v, "b0", Done{Outcome: Failed, TimedOut: true, Took: work / 4})
-	if after := table.servers[key{"s", "b0"}].spell.now(now); after > 1.2*before {
+	warmUp(t, table, now, v)
+	before := table.servers[key{"s", "b0"}].health.probabilityAt(now)
+	sendTo(t, table, now, v, "b0", Done{Outcome: Failed, TimedOut: true, Took: work / 4})
+	if after := table.servers[key{"s", "b0"}].health.probabilityAt(now); after > 1.2*before {
 		t.Errorf("belief rose from %.3f to %.3f", before, after)
 	}
 }
 
 // The age of a host's oldest request comes with its report, so that the evidence
 // does not begin anew when a report was lost.
-func TestReportTellsTheOldestRequest(t *testing.T) {
+func TestReportIncludesOldestRequest(t *testing.T) {
 	table, now := newTable()
 	v := view(1)
-	warm(t, table, now, v)
+	warmUp(t, table, now, v)
 	table.Report(now, "h2", 7, []*peerpb.BackendLoad{{Service: "s", Backend: "b0", InFlight: 1, Requests: 1, OldestMs: 900}}, true)
 	svc, row := table.service("s"), table.servers[key{"s", "b0"}]
-	if row.silence(now, svc) < overdue {
-		t.Errorf("evidence %.2f of a request that waits 900 ms where %s are usual", row.silence(now, svc), work)
+	if row.unansweredLogOdds(now, svc) < overdueLogOdds {
+		t.Errorf("evidence %.2f of a request that waits 900 ms where %s are usual", row.unansweredLogOdds(now, svc), work)
 	}
 }
 
@@ -110,7 +110,7 @@
 	now = now.Add(time.Minute)
 	table.conf.Retry = RetryRule{Share: 0.2, Reserve: 20, Window: 10 * time.Second}
 	v := view(3)
-	warm(t, table, now, v)
+	warmUp(t, table, now, v)
 	req := Request{Service: "s", DataCentre: "dc1", Idempotent: true, First: true, Objective: 3 * work, Asked: now, Deadline: now.Add(10 * work), Fleet: Fleet{Near: 1, All: 1}}
 	waiting := mustPick(t, table, now, v, req)
 	req.Exclude = []string{waiting.Server.ID}
@@ -123,7 +123,7 @@
 	if copyNow, after := table.Review(now.Add(11*work), v, req, waiting); copyNow || after != 0 {
 		t.Errorf("after the deadline: copy %t, next review in %s", copyNow, after)
 	}
-	for range 3 * 3 * queuePerSlot {
+	for range 3 * 3 * maxRequestsPerSlot {
 		if _, err := table.Pick(now, v, Request{Service: "s", DataCentre: "dc1"}); err != nil {
 			break
 		}
@@ -135,12 +135,12 @@
 
 // A request that no server can answer in its time is refused at once; one that has
 // time is not.
-func TestHopelessRequestIsRefused(t *testing.T) {
+func TestRequestThatCannotMeetDeadlineIsRefused(t *testing.T) {
 	table, now := newTable()
 	v := view(1)
-	warm(t, table, now, v)
+	warmUp(t, table, now, v)
 	req := Request{Service: "s", DataCentre: "dc1", First: true, Asked: now, Deadline: now.Add(work / 8), Objective: time.Second}
-	if _, err := table.Pick(now.Add(2*knownFor), v, req); err != nil {
+	if _, err := table.Pick(now.Add(2*routeLatencyTTL), v, req); err != nil {
 		t.Errorf("no answer of late: %v: what is refused brings no answer that could put the usual time right", err)
 	}
 	unknown := req
@@ -159,14 +159,14 @@
 
 // A standing queue is told by the share of late answers of the data centre, this
 // host's and the others'.
-func TestLateAnswersOfOthersTellOfTheQueue(t *testing.T) {
+func TestLateAnswersOfPeersCount(t *testing.T) {
 	table, now := newTable()
 	table.Report(now, "h2", 7, []*peerpb.BackendLoad{{Service: "s"}}, true)
 	table.Report(now, "h2", 7, []*peerpb.BackendLoad{{Service: "s", Good: 20, Late: 10}}, true)
 	if share := table.service("s").lateShare(now); share != 0.5 {
 		t.Errorf("share of late answers %.2f, want 0.50", share)
 	}
-	if share := table.service("s").lateShare(now.Add(2 * troubleWindow)); share != 0 {
+	if share := table.service("s").lateShare(now.Add(2 * outcomeWindow)); share != 0 {
 		t.Errorf("share of late answers %.2f later, want 0", share)
 	}
 }
@@ -176,17 +176,17 @@
 func TestSlowServiceIsNoEvidence(t *testing.T) {
 	table, now := newTable()
 	v := view(1)
-	warm(t, table, now, v)
+	warmUp(t, table, now, v)
 	mustPick(t, table, now, v, Request{First: true})
 	svc, row := table.service("s"), table.servers[key{"s", "b0"}]
 	later := now.Add(4 * work)
-	if row.silence(later, svc) < overdue {
-		t.Fatalf("evidence %.2f of a request that waits four times the usual time", row.silence(later, svc))
+	if row.unansweredLogOdds(later, svc) < overdueLogOdds {
+		t.Fatalf("evidence %.2f of a request that waits four times the usual time", row.unansweredLogOdds(later, svc))
 	}
 	table.Report(later, "h2", 7, []*peerpb.BackendLoad{{Service: "s"}}, true)
 	table.Report(later, "h2", 7, []*peerpb.BackendLoad{{Service: "s", Good: 100, Late: 40}}, true)
 	later = later.Add(time.Millisecond)
-	if evidence := row.silence(later, svc); evidence > 0.1 {
+	if evidence := row.unansweredLogOdds(later, svc); evidence > 0.1 {
 		t.Errorf("evidence %.2f while answers of the service are late", evidence)
 	}
 }
--- a/internal/policy/stats.go
+++ b/internal/policy/stats.go
@@ -18,7 +18,7 @@
 func (t *Table) Stats(now time.Time) []ServiceStats {
 	rows := make(map[string]*ServiceStats, len(t.services))
 	for name, svc := range t.services {
-		_, retries, _ := svc.shared(now, t.conf.Retry.Window)
+		_, retries, _ := svc.sharedSends(now, t.conf.Retry.Window)
 		rows[name] = &ServiceStats{Service: name, Retries: retries}
 	}
 	for k, s := range t.servers {
@@ -28,7 +28,7 @@
 		}
 		row.Servers++
 		row.InFlight += s.inFlight
-		if s.belief(now, t.service(k.service)) > inSpell {
+		if s.belief(now, t.service(k.service)) > failingThreshold {
 			row.Failing++
 		}
 	}
--- a/internal/policy/table.go
+++ b/internal/policy/table.go
@@ -21,20 +21,20 @@
 )
 
 const (
-	// peerExpiry is how long another host's in-flight count holds without news.
+	// peerReportTTL is how long another host's in-flight count holds without news.
 	// Counts are told again each RefreshEvery.
-	peerExpiry = 1600 * time.Millisecond
-	// toldHalfLife is how fast the load that a server told loses its weight: a
+	peerReportTTL = 1600 * time.Millisecond
+	// reportedLoadHalfLife is how fast the load that a server told loses its weight: a
 	// request takes some 250 ms.
-	toldHalfLife = 200 * time.Millisecond
-	// serviceGain is the weight of one answer in the usual time of a service.
-	serviceGain = 0.05
-	// defaultUsual is the time of a request before any answer.
-	defaultUsual = 250 * time.Millisecond
-	// pathHold is how long a server that this host cannot reach is avoided here,
+	reportedLoadHalfLife = 200 * time.Millisecond
+	// serviceLatencyWeight is the weight of one answer in the usual time of a service.
+	serviceLatencyWeight = 0.05
+	// defaultTypicalLatency is the time of a request before any answer.
+	defaultTypicalLatency = 250 * time.Millisecond
+	// pathBackoff is how long a server that this host cannot reach is avoided here,
 	// doubled for each further failure up to maxPathHold.
-	pathHold    = 500 * time.Millisecond
-	maxPathHold = 4 * time.Second
+	pathBackoff    = 500 * time.Millisecond
+	maxPathBackoff = 4 * time.Second
 )
 
 type key struct{ service, backend string }
@@ -53,21 +53,21 @@
 
 // server is one row of the table.
 type server struct {
-	spell    spell
+	health   healthModel
 	inFlight int
 	pending  []*pending // of inFlight, this host's
 	counts   counts
 	peers    map[string]*peerLoad
-	// busy are those of peers that have a request in flight: few, where peers are
+	// busyPeers are those of peers that have a request in flight: few, where peers are
 	// all hosts. Each pick looks at them for each server.
-	busy []*peerLoad
+	busyPeers []*peerLoad
 
-	// toldExcess is the load beyond what is known here, as told at toldAt.
-	toldExcess float64
-	toldAt     time.Time
-	// toldNow is the load that the server told this host since its last report,
+	// unseenLoad is the load beyond what is known here, as told at toldAt.
+	unseenLoad     float64
+	loadReportedAt time.Time
+	// loadToForward is the load that the server told this host since its last report,
 	// plus 1; 0 for nothing told.
-	toldNow uint32
+	loadToForward uint32
 	// slowness is the time of its answers against what is usual for their routes.
 	slowness float64
 	// failedAt is when a request last failed there, at any host.
@@ -76,7 +76,7 @@
 	// found unsent since.
 	lastSent time.Time
 	// watch is what UseChanges has seen of it.
-	watch useWatch
+	watch usageWatch
 	// joined is set for a server that this host has seen join.
 	joined bool
 	// slots are how many requests it works on at a time, 0 if unknown here.
@@ -93,23 +93,23 @@
 	process int
 
 	// dirty: others of the data centre must be told. failing: all hosts.
-	dirty   bool
-	failing bool
+	dirty         bool
+	failureUnsent bool
 }
 
 // service is what is known of a service as a whole.
 type service struct {
-	// usual is the usual time to the header of a good answer at an idle server,
+	// typicalLatency is the typicalLatency time to the header of a good answer at an idle server,
 	// whatever its route. times is how answers spread about their expected time,
 	// silentShare the part of failures without an answer.
-	usual       time.Duration
-	times       times
-	silentShare float64
-	// own is what this host sent, for RetryRule.
-	own sent
-	// staleAt is when an idle connection to one of its servers last broke under a
+	typicalLatency  time.Duration
+	latencies       latencyDistribution
+	unansweredShare float64
+	// ownSends is what this host sent, for RetryRule.
+	ownSends sendCounts
+	// staleConnectionAt is when an idle connection to one of its servers last broke under a
 	// request, at this host or another of the data centre.
-	staleAt time.Time
+	staleConnectionAt time.Time
 	// served and unserved requests of this data centre, for breadth.
 	served, unserved window
 	// sends to the servers of this host's subset, by all hosts that use them.
@@ -120,21 +120,21 @@
 	late window
 	// priorities is the usual work of this host's requests by rank, in milliseconds.
 	priorities map[int]*window
-	// patience is the time that requests have, by route.
-	patience map[string]patience
+	// deadlines is the time that requests have, by route.
+	deadlines map[string]routeDeadline
 	// totals are this host's counts over all servers, near what the hosts that share
 	// the service's allowance last told.
-	totals counts
-	near   map[string]*nearHost
-	dirty  bool
-	uses   evidence
-	// calmNow is calm as of calmAt.
-	calmNow float64
-	calmAt  time.Time
+	totals        counts
+	sharingHosts  map[string]*peerTotals
+	dirty         bool
+	beliefOptions beliefOptions
+	// cachedUnansweredWeight is calm as of calmAt.
+	cachedUnansweredWeight float64
+	unansweredWeightAt     time.Time
 }
 
-// evidence is what a belief goes by.
-type evidence struct{ spells, silence bool }
+// beliefOptions is what a belief goes by.
+type beliefOptions struct{ outcomes, unanswered bool }
 
 // Config of a Table.
 type Config struct {
@@ -150,23 +150,23 @@
 // Table is what one host knows of all services. It is not safe for concurrent
 // use.
 type Table struct {
-	conf     Config
-	started  time.Time
-	servers  map[key]*server
-	services map[string]*service
-	lives    map[string]uint64 // of the other hosts, by name
-	routes   map[string]*route // by Request.Group
+	conf         Config
+	started      time.Time
+	servers      map[key]*server
+	services     map[string]*service
+	incarnations map[string]uint64 // of the other hosts, by name
+	routes       map[string]*route // by Request.Group
 }
 
 // NewTable returns an empty table of a host that started at now.
 func NewTable(now time.Time, conf Config) *Table {
 	return &Table{
-		conf:     conf,
-		started:  now,
-		servers:  make(map[key]*server),
-		services: make(map[string]*service),
-		lives:    make(map[string]uint64),
-		routes:   make(map[string]*route),
+		conf:         conf,
+		started:      now,
+		servers:      make(map[key]*server),
+		services:     make(map[string]*service),
+		incarnations: make(map[string]uint64),
+		routes:       make(map[string]*route),
 	}
 }
 
@@ -174,88 +174,88 @@
 func (t *Table) service(name string) *service {
 	svc, ok := t.services[name]
 	if !ok {
-		svc = &service{usual: defaultUsual, times: newTimes(), silentShare: hangPrior, near: make(map[string]*nearHost), priorities: make(map[int]*window), patience: make(map[string]patience)}
-		svc.uses = evidence{spells: t.has(MechanismSpells), silence: t.has(MechanismSilence)}
+		svc = &service{typicalLatency: defaultTypicalLatency, latencies: newLatencyDistribution(), unansweredShare: priorUnansweredShare, sharingHosts: make(map[string]*peerTotals), priorities: make(map[int]*window), deadlines: make(map[string]routeDeadline)}
+		svc.beliefOptions = beliefOptions{outcomes: t.has(MechanismSpells), unanswered: t.has(MechanismUnanswered)}
 		t.services[name] = svc
 	}
 	return svc
 }
 
-// row returns a server's row, made if absent. view is nil where another host tells of the
-// server.
-func (t *Table) row(now time.Time, k key, view *world.BackendView) *server {
+// state returns a state's state, made if absent. view is nil where another host tells of the
+// state.
+func (t *Table) state(now time.Time, k key, view *world.BackendView) *server {
 	s, ok := t.servers[k]
 	if ok {
 		if view != nil {
-			t.refreshRow(now, s, view)
+			t.refreshServer(now, s, view)
 		}
 		return s
 	}
 	s = &server{slowness: 1, peers: make(map[string]*peerLoad)}
-	s.spell = spell{probability: stationary, at: now}
+	s.health = healthModel{probability: stationaryBelief, at: now}
 	if view != nil {
 		s.slots = view.Slots
 		s.started = view.Started
 	}
-	if view != nil && isNew(now, view) {
-		t.startCold(now, s, view)
+	if view != nil && joinedRecently(now, view) {
+		t.markCold(now, s, view)
 		s.joined = true
 	}
 	t.servers[k] = s
 	return s
 }
 
-// newFor is for how long a server counts as one that has just started after it joined. A server
+// newServerPeriod is for how long a server counts as one that has just started after it joined. A server
 // that this host meets for the first time may be an old one: subsets move whenever hosts or
 // servers come and go.
-const newFor = 10 * time.Second
+const newServerPeriod = 10 * time.Second
 
-func isNew(now time.Time, view *world.BackendView) bool {
-	return !view.JoinedAt.IsZero() && now.Sub(view.JoinedAt) < newFor
+func joinedRecently(now time.Time, view *world.BackendView) bool {
+	return !view.JoinedAt.IsZero() && now.Sub(view.JoinedAt) < newServerPeriod
 }
 
-// startCold holds a server for one that has just started.
-func (t *Table) startCold(now time.Time, s *server, view *world.BackendView) {
+// markCold holds a server for one that has just started.
+func (t *Table) markCold(now time.Time, s *server, view *world.BackendView) {
 	if t.has(MechanismColdStart) {
-		s.spell.probability = newServer
+		s.health.probability = newServerBelief
 		s.coldUntil = now.Add(view.Warmup)
 	}
 }
 
-// refreshRow takes what the configuration says of a server now. If its process has started
+// refreshServer takes what the configuration says of a server now. If its process has started
 // again, nothing that was learnt of the earlier one holds; counts go on, because other
 // hosts learn from their growth.
-func (t *Table) refreshRow(now time.Time, s *server, view *world.BackendView) {
+func (t *Table) refreshServer(now time.Time, s *server, view *world.BackendView) {
 	s.slots = view.Slots
 	if view.Started == 0 || view.Started == s.started {
 		return
 	}
-	again := s.started != 0
+	restarted := s.started != 0
 	s.started = view.Started
-	if !again {
+	if !restarted {
 		return
 	}
 	fresh := &server{slowness: 1, peers: s.peers, counts: s.counts, slots: s.slots, started: s.started, process: s.process + 1, lastSent: s.lastSent, watch: s.watch}
-	fresh.spell = spell{probability: stationary, at: now}
+	fresh.health = healthModel{probability: stationaryBelief, at: now}
 	for _, peer := range s.peers {
 		peer.inFlight = 0
 	}
-	t.startCold(now, fresh, view)
+	t.markCold(now, fresh, view)
 	*s = *fresh
 }
 
-// learnLoad keeps what the told load exceeds the known one by: requests of
+// recordReportedLoad keeps what the told load exceeds the known one by: requests of
 // hosts that this one does not hear.
-func (s *server) learnLoad(now time.Time, load int) {
-	s.toldExcess = max(float64(load-s.known(now))-1, 0)
-	s.toldAt = now
+func (s *server) recordReportedLoad(now time.Time, load int) {
+	s.unseenLoad = max(float64(load-s.knownInFlight(now))-1, 0)
+	s.loadReportedAt = now
 }
 
-// known is the number of requests in flight from this host and those it hears.
-func (s *server) known(now time.Time) int {
+// knownInFlight is the number of requests in flight from this host and those it hears.
+func (s *server) knownInFlight(now time.Time) int {
 	total := s.inFlight
-	for _, p := range s.busy {
-		if now.Sub(p.at) < peerExpiry {
+	for _, p := range s.busyPeers {
+		if now.Sub(p.at) < peerReportTTL {
 			total += p.inFlight
 		}
 	}
@@ -264,5 +264,5 @@
 
 // load estimates how many requests the server has now.
 func (s *server) load(now time.Time) float64 {
-	return float64(s.known(now)) + s.toldExcess*decay(now.Sub(s.toldAt), toldHalfLife)
+	return float64(s.knownInFlight(now)) + s.unseenLoad*decay(now.Sub(s.loadReportedAt), reportedLoadHalfLife)
 }
--- a/internal/policy/table_test.go
+++ b/internal/policy/table_test.go
@@ -40,8 +40,8 @@
 	return lease
 }
 
-// use sends a request to a server and notes its outcome.
-func use(t *testing.T, table *Table, now time.Time, v *world.ServiceView, id string, done Done) {
+// sendTo sends a request to a server and notes its outcome.
+func sendTo(t *testing.T, table *Table, now time.Time, v *world.ServiceView, id string, done Done) {
 	t.Helper()
 	only := &world.ServiceView{}
 	for _, b := range v.Backends {
@@ -52,33 +52,33 @@
 	table.Finish(now, mustPick(t, table, now, only, Request{First: true}), done)
 }
 
-func TestBeliefRisesWithFailuresAndFades(t *testing.T) {
+func TestBeliefRisesWithFailuresAndDecays(t *testing.T) {
 	now := time.Now()
-	s := spell{probability: 0.02, at: now}
-	s.failed(now)
-	once := s.now(now)
-	s.failed(now)
-	twice := s.now(now)
+	s := healthModel{probability: 0.02, at: now}
+	s.observeFailure(now)
+	once := s.probabilityAt(now)
+	s.observeFailure(now)
+	twice := s.probabilityAt(now)
 	if once < 0.9 || twice < 0.99 {
 		t.Errorf("belief %.2f after one failure at once and %.2f after two, want near certainty", once, twice)
 	}
-	if later := s.now(now.Add(time.Minute)); later > 1.05*stationary {
-		t.Errorf("belief %.2f a minute later, want %.2f", later, stationary)
+	if later := s.probabilityAt(now.Add(time.Minute)); later > 1.05*stationaryBelief {
+		t.Errorf("belief %.2f a minute later, want %.2f", later, stationaryBelief)
 	}
-	s.good(now)
-	s.good(now)
-	s.good(now)
-	if cleared := s.now(now); cleared > 0.8 {
+	s.observeSuccess(now)
+	s.observeSuccess(now)
+	s.observeSuccess(now)
+	if cleared := s.probabilityAt(now); cleared > 0.8 {
 		t.Errorf("belief %.2f after three good requests", cleared)
 	}
 }
 
 // A failure that another host saw turns this host's next request away.
-func TestFailureElsewhereTurnsRequestsAway(t *testing.T) {
+func TestFailureAtAnotherHostDivertsRequests(t *testing.T) {
 	table, now := newTable()
 	v := view(2)
 	for _, id := range []string{"b0", "b1"} {
-		use(t, table, now, v, id, Done{Outcome: Good, FirstByte: 100 * time.Millisecond})
+		sendTo(t, table, now, v, id, Done{Outcome: Good, FirstByte: 100 * time.Millisecond})
 	}
 	table.Report(now, "h2", 7, []*peerpb.BackendLoad{{Service: "s", Backend: "b0", Failed: 1}}, false)
 	for range 3 {
@@ -100,11 +100,11 @@
 	table.Report(now, "h2", 7, second, true)
 	svc := table.service("s")
 	window := table.conf.Retry.Window
-	if got, _ := sharedOf(svc, now, window); got != 9 {
+	if got, _ := sharedSends(svc, now, window); got != 9 {
 		t.Errorf("%d requests counted, want 9", got)
 	}
 	table.Report(now, "h2", 8, first, true)
-	if got, _ := sharedOf(svc, now, window); got != 12 {
+	if got, _ := sharedSends(svc, now, window); got != 12 {
 		t.Errorf("%d requests counted after the host's restart, want 12", got)
 	}
 }
@@ -114,18 +114,18 @@
 func TestPeersRequestsFillServers(t *testing.T) {
 	table, now := newTable()
 	v := view(1)
-	full := uint32(3 * queuePerSlot)
+	full := uint32(3 * maxRequestsPerSlot)
 	table.Report(now, "h2", 7, []*peerpb.BackendLoad{{Service: "s", Backend: "b0", InFlight: full, Requests: uint64(full)}}, true)
 	if _, err := table.Pick(now, v, Request{Service: "s", DataCentre: "dc1"}); errs.KindOf(err) != errs.KindQueueFull {
 		t.Fatalf("error %v, want %s", err, errs.KindQueueFull)
 	}
-	if _, err := table.Pick(now.Add(2*peerExpiry), v, Request{Service: "s", DataCentre: "dc1"}); err != nil {
+	if _, err := table.Pick(now.Add(2*peerReportTTL), v, Request{Service: "s", DataCentre: "dc1"}); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // What hosts of a data centre sent again comes out of one allowance.
-func TestRetriesAreSharedByADataCentre(t *testing.T) {
+func TestDataCentreSharesRetryAllowance(t *testing.T) {
 	table, now := newTable()
 	table.conf.Retry = RetryRule{Share: 0.2, Reserve: 20, Window: 10 * time.Second}
 	fleet := Fleet{Near: 10, All: 40}
@@ -149,7 +149,7 @@
 
 // What hosts that are not heard may send again is theirs to spend: a host that hears no
 // other keeps to its own part, of its requests and of the reserve.
-func TestUnheardHostsKeepTheirPart(t *testing.T) {
+func TestHostsWithoutReportsKeepTheirAllowance(t *testing.T) {
 	table, now := newTable()
 	table.conf.Retry = RetryRule{Share: 0.2, Reserve: 40, Window: 10 * time.Second}
 	fleet := Fleet{Near: 10, All: 40}
@@ -162,43 +162,43 @@
 	if used := table.retriesUsed(now, "s", fleet); used.allowance != retrySafety*(0.2*900+10) {
 		t.Errorf("%.1f retries allowed while all are heard", used.allowance)
 	}
-	cut := now.Add(heardFor)
+	cut := now.Add(peerTotalsTTL)
 	if used := table.retriesUsed(cut, "s", fleet); used.allowance != retrySafety*1 {
 		t.Errorf("%.1f retries allowed while no other host is heard, want a fortieth of the reserve", used.allowance)
 	}
 }
 
-// sharedOf is what all hosts that are heard sent.
-func sharedOf(svc *service, now time.Time, length time.Duration) (requests, retries int) {
-	requests, retries, _ = svc.shared(now, length)
+// sharedSends is what all hosts that are heard sent.
+func sharedSends(svc *service, now time.Time, length time.Duration) (requests, retries int) {
+	requests, retries, _ = svc.sharedSends(now, length)
 	return requests, retries
 }
 
 // A report that arrives behind a newer one brings no failure anew.
-func TestLateReportOfAServer(t *testing.T) {
+func TestOutOfOrderReportIsIgnored(t *testing.T) {
 	table, now := newTable()
 	for _, failed := range []uint64{1, 2} {
 		table.Report(now, "h2", 7, []*peerpb.BackendLoad{{Service: "s", Backend: "b0", Failed: failed}}, false)
 	}
 	row := table.servers[key{"s", "b0"}]
 	for range 5 {
-		row.spell.good(now)
+		row.health.observeSuccess(now)
 	}
-	before := row.spell.now(now)
+	before := row.health.probabilityAt(now)
 	table.Report(now, "h2", 7, []*peerpb.BackendLoad{{Service: "s", Backend: "b0", Failed: 1}}, false)
-	if after := row.spell.now(now); after > before {
+	if after := row.health.probabilityAt(now); after > before {
 		t.Errorf("belief rose from %.3f to %.3f", before, after)
 	}
 }
 
 // What another host counted before this one heard of it is long past: only its
 // newest failure is news.
-func TestOldFailuresAreNoNews(t *testing.T) {
+func TestFirstReportCountsOnlyNewestFailure(t *testing.T) {
 	beliefAfter := func(failed uint64) float64 {
 		table, now := newTable()
-		use(t, table, now, view(1), "b0", Done{Outcome: Good, FirstByte: time.Millisecond})
+		sendTo(t, table, now, view(1), "b0", Done{Outcome: Good, FirstByte: time.Millisecond})
 		table.Report(now, "h2", 7, []*peerpb.BackendLoad{{Service: "s", Backend: "b0", Failed: failed}}, false)
-		return table.servers[key{"s", "b0"}].spell.now(now)
+		return table.servers[key{"s", "b0"}].health.probabilityAt(now)
 	}
 	if one, many := beliefAfter(1), beliefAfter(50); math.Abs(one-many) > 1e-3 {
 		t.Errorf("belief %.3f where 50 failures were counted, want %.3f as after one", many, one)
@@ -208,16 +208,16 @@
 // An error that comes after the usual time of a request's work is most likely
 // the request's own: one must not turn requests away from a server, a row of
 // them must. An error at once does so alone.
-func TestLateErrorsAreTheRequests(t *testing.T) {
+func TestLateErrorsAreAttributedToRequests(t *testing.T) {
 	const work = 200 * time.Millisecond
 	beliefAfter := func(n int, took time.Duration) float64 {
 		table, now := newTable()
 		v := view(1)
-		use(t, table, now, v, "b0", Done{Outcome: Good, FirstByte: work})
+		sendTo(t, table, now, v, "b0", Done{Outcome: Good, FirstByte: work})
 		for range n {
-			use(t, table, now, v, "b0", Done{Outcome: Failed, FirstByte: took})
+			sendTo(t, table, now, v, "b0", Done{Outcome: Failed, FirstByte: took})
 		}
-		return table.servers[key{"s", "b0"}].spell.now(now)
+		return table.servers[key{"s", "b0"}].health.probabilityAt(now)
 	}
 	if late := beliefAfter(1, work); late > 0.3 {
 		t.Errorf("belief %.2f after one error that took a request's work, want it low", late)
@@ -231,27 +231,27 @@
 }
 
 // Other hosts hear of errors after a request's work, and count them as unserved.
-func TestLateErrorsAreTold(t *testing.T) {
+func TestLateErrorsAreReported(t *testing.T) {
 	sender, now := newTable()
 	receiver, _ := newTable()
 	v := view(1)
-	use(t, sender, now, v, "b0", Done{Outcome: Good, FirstByte: 200 * time.Millisecond})
+	sendTo(t, sender, now, v, "b0", Done{Outcome: Good, FirstByte: 200 * time.Millisecond})
 	near, _ := sender.Changes(now)
 	receiver.Report(now, "h2", 1, near, true)
-	use(t, sender, now, v, "b0", Done{Outcome: Failed, FirstByte: 200 * time.Millisecond})
+	sendTo(t, sender, now, v, "b0", Done{Outcome: Failed, FirstByte: 200 * time.Millisecond})
 	near, failing := sender.Changes(now)
 	if len(failing) != 0 {
 		t.Errorf("hosts of other data centres are told of %v", failing)
 	}
 	receiver.Report(now, "h2", 1, near, true)
-	if got := receiver.service("s").unserved.sum(now, troubleWindow); got != 1 {
+	if got := receiver.service("s").unserved.sum(now, outcomeWindow); got != 1 {
 		t.Errorf("%d unserved requests counted, want 1", got)
 	}
 }
 
 // A request that is picked for again, because a server could not be reached, is
 // counted once: each count adds to what may be sent again.
-func TestPickedAgainCountsOnce(t *testing.T) {
+func TestRepeatedPickCountsOnce(t *testing.T) {
 	table, now := newTable()
 	v := view(3)
 	table.Finish(now, mustPick(t, table, now, v, Request{First: true}), Done{Outcome: Unreachable})
@@ -259,22 +259,22 @@
 	table.Finish(now, mustPick(t, table, now, v, Request{Repeat: true}), Done{Outcome: Good})
 	svc := table.service("s")
 	window := table.conf.Retry.Window
-	if requests, retries := sharedOf(svc, now, window); requests != 1 || retries != 1 {
+	if requests, retries := sharedSends(svc, now, window); requests != 1 || retries != 1 {
 		t.Errorf("%d requests and %d retries counted, want 1 and 1", requests, retries)
 	}
 }
 
 // A lost report is made up by the host's next one, whatever server that is about.
-func TestLostReportIsMadeUp(t *testing.T) {
+func TestLostReportIsCompensated(t *testing.T) {
 	sender, now := newTable()
 	receiver, _ := newTable()
 	v := view(2)
-	use(t, sender, now, v, "b0", Done{Outcome: Good, FirstByte: time.Millisecond})
+	sendTo(t, sender, now, v, "b0", Done{Outcome: Good, FirstByte: time.Millisecond})
 	sender.Changes(now) // lost
-	use(t, sender, now, v, "b1", Done{Outcome: Good, FirstByte: time.Millisecond})
+	sendTo(t, sender, now, v, "b1", Done{Outcome: Good, FirstByte: time.Millisecond})
 	near, _ := sender.Changes(now)
 	receiver.Report(now, "h2", 1, near, true)
-	if got, _ := sharedOf(receiver.service("s"), now, receiver.conf.Retry.Window); got != 2 {
+	if got, _ := sharedSends(receiver.service("s"), now, receiver.conf.Retry.Window); got != 2 {
 		t.Errorf("%d requests known, want 2", got)
 	}
 }
@@ -282,13 +282,13 @@
 // A host that has just started knows nothing of what was spent before: it takes
 // no other host's past for the present, and spends its own part only, however
 // many requests the others have.
-func TestYoungHostSpendsLittle(t *testing.T) {
+func TestNewHostSpendsOnlyItsOwnAllowance(t *testing.T) {
 	table, now := newTable()
 	table.conf.Retry = RetryRule{Share: 0.2, Reserve: 20, Window: 10 * time.Second}
 	fleet := Fleet{Near: 40, All: 40}
 	table.Report(now, "h2", 7, []*peerpb.BackendLoad{{Service: "s", Requests: 500, Retries: 50}}, true)
 	svc := table.service("s")
-	if got, _ := sharedOf(svc, now, table.conf.Retry.Window); got != 0 {
+	if got, _ := sharedSends(svc, now, table.conf.Retry.Window); got != 0 {
 		t.Errorf("%d requests of the past counted as of now", got)
 	}
 	now = now.Add(9 * time.Second)
@@ -303,7 +303,7 @@
 }
 
 // The window forgets what is older than its length.
-func TestWindowForgets(t *testing.T) {
+func TestWindowDropsOldEvents(t *testing.T) {
 	var w window
 	now := time.Now()
 	const length = 10 * time.Second
@@ -347,10 +347,10 @@
 }
 
 // A server that cannot be reached from here is left until the hold is over.
-func TestUnreachableServerIsLeft(t *testing.T) {
+func TestUnreachableServerIsAvoided(t *testing.T) {
 	table, now := newTable()
 	v := view(2)
-	use(t, table, now, v, "b0", Done{Outcome: Unreachable})
+	sendTo(t, table, now, v, "b0", Done{Outcome: Unreachable})
 	for range 5 {
 		if lease := mustPick(t, table, now, v, Request{Idempotent: true}); lease.Server.ID != "b1" {
 			t.Fatalf("request goes to %s, which cannot be reached", lease.Server.ID)
@@ -364,10 +364,10 @@
 	table, now := newTable()
 	v := view(2)
 	v.Backends[1].DataCentre = "dc2"
-	use(t, table, now, v, "b1", Done{Outcome: Good, FirstByte: 100 * time.Millisecond})
-	use(t, table, now, v, "b0", Done{Outcome: Failed})
-	table.route(table.service("s"), "large").learn(now, 100*time.Millisecond, 100_000)
-	table.route(table.service("s"), "small").learn(now, 100*time.Millisecond, 500)
+	sendTo(t, table, now, v, "b1", Done{Outcome: Good, FirstByte: 100 * time.Millisecond})
+	sendTo(t, table, now, v, "b0", Done{Outcome: Failed})
+	table.route(table.service("s"), "large").record(now, 100*time.Millisecond, 100_000)
+	table.route(table.service("s"), "small").record(now, 100*time.Millisecond, 500)
 	if lease := mustPick(t, table, now, v, Request{Idempotent: true, Group: "large"}); lease.Server.ID != "b0" {
 		t.Errorf("a large answer is fetched from %s", lease.Server.DataCentre)
 	}
@@ -377,26 +377,26 @@
 }
 
 // The load that a server tells counts beyond what is known, and fades.
-func TestToldLoadFades(t *testing.T) {
+func TestReportedLoadDecays(t *testing.T) {
 	table, now := newTable()
 	v := view(1)
-	use(t, table, now, v, "b0", Done{Outcome: Good, FirstByte: time.Millisecond, Load: &protocol.Load{Running: 3, Waiting: 6}})
+	sendTo(t, table, now, v, "b0", Done{Outcome: Good, FirstByte: time.Millisecond, Load: &protocol.Load{Running: 3, Waiting: 6}})
 	row := table.servers[key{"s", "b0"}]
-	if load := row.load(row.toldAt); load != 8 {
+	if load := row.load(row.loadReportedAt); load != 8 {
 		t.Errorf("load %.1f, want the 8 others that the server told of", load)
 	}
-	if load := row.load(row.toldAt.Add(10 * toldHalfLife)); load > 0.1 {
+	if load := row.load(row.loadReportedAt.Add(10 * reportedLoadHalfLife)); load > 0.1 {
 		t.Errorf("load %.1f long after it was told", load)
 	}
 }
 
 // Changes tell the data centre of every request and of the service's totals, all
 // hosts of failures only.
-func TestChangesTellFailuresFar(t *testing.T) {
+func TestChangesSendOnlyFailuresToAllHosts(t *testing.T) {
 	table, now := newTable()
 	v := view(2)
-	use(t, table, now, v, "b0", Done{Outcome: Good, FirstByte: time.Millisecond})
-	use(t, table, now, v, "b1", Done{Outcome: Failed})
+	sendTo(t, table, now, v, "b0", Done{Outcome: Good, FirstByte: time.Millisecond})
+	sendTo(t, table, now, v, "b1", Done{Outcome: Failed})
 	near, far := table.Changes(now)
 	if len(near) != 3 || len(far) != 1 || far[0].Backend != "b1" || far[0].Failed != 1 || far[0].Requests != 0 {
 		t.Errorf("near %v, far %v", near, far)
@@ -411,28 +411,28 @@
 // held for sound.
 func TestNewServersAreTrusted(t *testing.T) {
 	table, now := newTable()
-	use(t, table, now, view(2), "b0", Done{Outcome: Neutral})
+	sendTo(t, table, now, view(2), "b0", Done{Outcome: Neutral})
 	moved := view(5)
 	moved.Backends[2].JoinedAt = now
 	moved.Backends[3].JoinedAt = now.Add(-time.Minute)
 	mustPick(t, table, now, moved, Request{})
 	for _, id := range []string{"b3", "b4"} {
-		if met := table.servers[key{"s", id}].spell.now(now); met < 0.9*stationary {
-			t.Errorf("belief %.2f of %s that is no new server, want %.2f", met, id, stationary)
+		if met := table.servers[key{"s", id}].health.probabilityAt(now); met < 0.9*stationaryBelief {
+			t.Errorf("belief %.2f of %s that is no new server, want %.2f", met, id, stationaryBelief)
 		}
 	}
-	if found := table.servers[key{"s", "b0"}].spell.now(now); found < 0.9*stationary {
-		t.Errorf("belief %.2f of a server found at the start, want %.2f", found, stationary)
+	if found := table.servers[key{"s", "b0"}].health.probabilityAt(now); found < 0.9*stationaryBelief {
+		t.Errorf("belief %.2f of a server found at the start, want %.2f", found, stationaryBelief)
 	}
-	if joined := table.servers[key{"s", "b2"}].spell.now(now); joined > 2*newServer {
-		t.Errorf("belief %.2f of a server that joined, want %.2f", joined, newServer)
+	if joined := table.servers[key{"s", "b2"}].health.probabilityAt(now); joined > 2*newServerBelief {
+		t.Errorf("belief %.2f of a server that joined, want %.2f", joined, newServerBelief)
 	}
 }
 
 // An idempotent request that fails can be served elsewhere while the retry
 // allowance lasts. Once it is spent, the request keeps off a failing server
 // even where the other one is slower.
-func TestSpentAllowanceKeepsOffFailingServers(t *testing.T) {
+func TestSpentAllowanceAvoidsFailingServers(t *testing.T) {
 	table, now := newTable()
 	table.conf.Retry = RetryRule{Share: 0, Reserve: 40, Window: 10 * time.Second}
 	now = now.Add(time.Minute)
@@ -442,7 +442,7 @@
 		t.Fatalf("a failure costs %.2f with the allowance unspent, want less than a lost request", unspent)
 	}
 	for table.AllowRetry(now, "s", req.Fleet) {
-		table.service("s").own.retries.add(now, table.conf.Retry.Window, 1)
+		table.service("s").ownSends.retries.add(now, table.conf.Retry.Window, 1)
 	}
 	if spent := table.failureCost(req, table.spentAllowance(now, "s", req.Fleet)); spent < 0.95*table.conf.Cost.Failure {
 		t.Errorf("a failure costs %.2f with the allowance spent, want a lost request", spent)
@@ -464,21 +464,21 @@
 
 // The load that a server tells one host guides the others of the data centre:
 // requests of other data centres fill it too, and nobody here counts them.
-func TestToldLoadIsShared(t *testing.T) {
-	hearer, now := newTable()
+func TestReportedLoadIsForwarded(t *testing.T) {
+	sender, now := newTable()
 	neighbour, _ := newTable()
 	v := view(1)
-	use(t, hearer, now, v, "b0", Done{Outcome: Good, FirstByte: time.Millisecond, Load: &protocol.Load{Running: 3, Waiting: 6}})
-	near, _ := hearer.Changes(now)
+	sendTo(t, sender, now, v, "b0", Done{Outcome: Good, FirstByte: time.Millisecond, Load: &protocol.Load{Running: 3, Waiting: 6}})
+	near, _ := sender.Changes(now)
 	neighbour.Report(now, "h2", 1, near, true)
 	row := neighbour.servers[key{"s", "b0"}]
 	if load := row.load(now); load < 7 {
 		t.Errorf("load %.1f at the neighbour, want about 8 of the 9 told", load)
 	}
-	use(t, hearer, now, v, "b0", Done{Outcome: Good, FirstByte: time.Millisecond})
-	near, _ = hearer.Changes(now)
-	neighbour.Report(now.Add(5*toldHalfLife), "h2", 1, near, true)
-	if load := row.load(now.Add(5 * toldHalfLife)); load > 1 {
+	sendTo(t, sender, now, v, "b0", Done{Outcome: Good, FirstByte: time.Millisecond})
+	near, _ = sender.Changes(now)
+	neighbour.Report(now.Add(5*reportedLoadHalfLife), "h2", 1, near, true)
+	if load := row.load(now.Add(5 * reportedLoadHalfLife)); load > 1 {
 		t.Errorf("load %.1f later, though the server told nothing since", load)
 	}
 }
--- a/internal/policy/unused.go
+++ b/internal/policy/unused.go
@@ -20,7 +20,7 @@
 	UnusedFailure     WhyUnused = "failure"      // a request failed there a moment ago
 	UnusedSilence     WhyUnused = "silence"      // requests wait there for longer than usual
 	UnusedBelief      WhyUnused = "belief"       // it is believed to fail
-	UnusedForNoReason WhyUnused = "no-objection" // nothing: other servers cost less, or there are too few requests
+	UnusedNoObjection WhyUnused = "no-objection" // nothing: other servers cost less, or there are too few requests
 )
 
 // UseChange is a server that has fallen out of use, or is in use again.
@@ -39,8 +39,8 @@
 	Limited  bool
 }
 
-// useWatch is what UseChanges has seen of a server.
-type useWatch struct {
+// usageWatch is what UseChanges has seen of a server.
+type usageWatch struct {
 	since  time.Time // when it was first looked at
 	unused bool
 }
@@ -50,7 +50,7 @@
 // there are fewer requests than servers there are none: some must be out of use.
 func (t *Table) UseChanges(now time.Time, view *world.ServiceView, req Request) []UseChange {
 	svc, known := t.services[req.Service]
-	if !known || svc.requests(now) < near(view, req.DataCentre) {
+	if !known || svc.recentRequests(now) < countLocalServers(view, req.DataCentre) {
 		return nil
 	}
 	var changes []UseChange
@@ -61,28 +61,28 @@
 		if !known || b.DataCentre != req.DataCentre {
 			continue
 		}
-		if !s.changesUse(now) {
+		if !s.updateUsage(now) {
 			continue
 		}
 		change := UseChange{Service: req.Service, Server: b.ID, InUse: !s.watch.unused, Idle: s.idle(now)}
 		if s.watch.unused {
-			change.Why = s.whyUnused(now, svc, b, req)
+			change.Why = s.reasonUnused(now, svc, b, req)
 			change.Belief = s.belief(now, svc)
-			change.Troubled = svc.troubled(now)
-			change.Limited = svc.muchLimited(now)
+			change.Troubled = svc.isDegraded(now)
+			change.Limited = svc.isHeavilyLimited(now)
 		}
 		changes = append(changes, change)
 	}
 	return changes
 }
 
-// requests counts those of this data centre that have ended of late.
-func (svc *service) requests(now time.Time) int {
-	return svc.served.sum(now, troubleWindow) + svc.unserved.sum(now, troubleWindow) + svc.limited.sum(now, troubleWindow)
+// recentRequests counts those of this data centre that have ended of late.
+func (svc *service) recentRequests(now time.Time) int {
+	return svc.served.sum(now, outcomeWindow) + svc.unserved.sum(now, outcomeWindow) + svc.limited.sum(now, outcomeWindow)
 }
 
-// near counts the servers of this data centre in a host's subset, 1 at the least.
-func near(view *world.ServiceView, dataCentre string) int {
+// countLocalServers counts the servers of this data centre in a host's subset, 1 at the least.
+func countLocalServers(view *world.ServiceView, dataCentre string) int {
 	count := 0
 	for _, b := range view.Candidates() {
 		if b.DataCentre == dataCentre {
@@ -92,8 +92,8 @@
 	return max(count, 1)
 }
 
-// changesUse notes whether the server is out of use, and reports whether that is new.
-func (s *server) changesUse(now time.Time) bool {
+// updateUsage notes whether the server is out of use, and reports whether that is new.
+func (s *server) updateUsage(now time.Time) bool {
 	if s.watch.since.IsZero() {
 		s.watch.since = now
 	}
@@ -112,20 +112,20 @@
 	return now.Sub(since)
 }
 
-func (s *server) whyUnused(now time.Time, svc *service, b *world.BackendView, req Request) WhyUnused {
+func (s *server) reasonUnused(now time.Time, svc *service, b *world.BackendView, req Request) WhyUnused {
 	reported := req.reason(b)
 	switch {
 	case !reported.TakesRequests():
 		return WhyUnused(reported.String())
 	case now.Before(s.pathUntil):
 		return UnusedPath
-	case now.Sub(s.failedAt) <= recentFailure:
+	case now.Sub(s.failedAt) <= failureCooldown:
 		return UnusedFailure
-	case s.silence(now, svc) > overdue:
+	case s.unansweredLogOdds(now, svc) > overdueLogOdds:
 		return UnusedSilence
-	case s.belief(now, svc) >= inSpell:
+	case s.belief(now, svc) >= failingThreshold:
 		return UnusedBelief
 	default:
-		return UnusedForNoReason
+		return UnusedNoObjection
 	}
 }
--- a/internal/policy/unused_test.go
+++ b/internal/policy/unused_test.go
@@ -32,7 +32,7 @@
 
 // A server that gets no request for 2 s is told of once, with what speaks against it, and once
 // more when it gets one. The others go on being used.
-func TestServersOutOfUseAreTold(t *testing.T) {
+func TestServersOutOfUseAreReported(t *testing.T) {
 	good := Done{Outcome: Good, FirstByte: 100 * time.Millisecond}
 	cases := map[string]struct {
 		last Done // of the server that falls out of use
@@ -40,7 +40,7 @@
 		why  WhyUnused
 	}{
 		"believed to fail":    {last: Done{Outcome: Failed}, why: UnusedBelief},
-		"nothing against it":  {last: good, why: UnusedForNoReason},
+		"nothing against it":  {last: good, why: UnusedNoObjection},
 		"asked for rest":      {last: good, said: map[string]protocol.ServerState{"b0": {Rest: time.Minute}}, why: "resting"},
 		"says that it leaves": {last: good, said: map[string]protocol.ServerState{"b0": {Leaving: true}}, why: "leaving"},
 	}
@@ -49,20 +49,20 @@
 			table, now := newTable()
 			v := view(3)
 			for _, id := range []string{"b0", "b1", "b2"} {
-				use(t, table, now, v, id, good)
+				sendTo(t, table, now, v, id, good)
 			}
-			use(t, table, now, v, "b0", c.last)
+			sendTo(t, table, now, v, "b0", c.last)
 			expectNoUseChange(t, table, now)
 			for range 3 {
 				now = now.Add(outOfUse / 3)
-				use(t, table, now, v, "b1", good)
-				use(t, table, now, v, "b2", good)
+				sendTo(t, table, now, v, "b1", good)
+				sendTo(t, table, now, v, "b2", good)
 			}
 			now = now.Add(time.Millisecond)
-			req := Request{Availability: said(now, c.said)}
+			req := Request{Availability: reportedStates(now, c.said)}
 			expectUseChange(t, table, now, req, UseChange{Server: "b0", Why: c.why})
 			expectNoUseChange(t, table, now)
-			use(t, table, now, v, "b0", good)
+			sendTo(t, table, now, v, "b0", good)
 			expectUseChange(t, table, now, req, UseChange{Server: "b0", InUse: true})
 			expectNoUseChange(t, table, now)
 		})
@@ -75,30 +75,30 @@
 	v := view(3)
 	expectNoUseChange(t, table, now)
 	for _, id := range []string{"b0", "b1", "b2"} {
-		use(t, table, now, v, id, Done{Outcome: Good, FirstByte: 100 * time.Millisecond})
+		sendTo(t, table, now, v, id, Done{Outcome: Good, FirstByte: 100 * time.Millisecond})
 	}
 	expectNoUseChange(t, table, now)
 	now = now.Add(10 * outOfUse)
 	for _, id := range []string{"b1", "b2"} {
-		use(t, table, now, v, id, Done{Outcome: Good, FirstByte: 100 * time.Millisecond})
+		sendTo(t, table, now, v, id, Done{Outcome: Good, FirstByte: 100 * time.Millisecond})
 	}
 	expectNoUseChange(t, table, now)
 }
 
 // A server that has never had a request is out of use from when it was first looked at.
-func TestNewServerIsOutOfUseFromItsFirstSight(t *testing.T) {
+func TestNewServerIsOutOfUseFromFirstCheck(t *testing.T) {
 	table, now := newTable()
 	v := view(3)
 	good := Done{Outcome: Good, FirstByte: 100 * time.Millisecond}
 	useOthers := func() {
 		for _, id := range []string{"b1", "b2", "b1", "b2"} {
-			use(t, table, now, v, id, good)
+			sendTo(t, table, now, v, id, good)
 		}
 	}
 	useOthers()
-	table.row(now, key{"s", "b0"}, &v.Backends[0])
+	table.state(now, key{"s", "b0"}, &v.Backends[0])
 	expectNoUseChange(t, table, now)
 	now = now.Add(outOfUse)
 	useOthers()
-	expectUseChange(t, table, now, Request{}, UseChange{Server: "b0", Why: UnusedForNoReason})
+	expectUseChange(t, table, now, Request{}, UseChange{Server: "b0", Why: UnusedNoObjection})
 }
--- a/internal/policy/window_test.go
+++ b/internal/policy/window_test.go
@@ -7,7 +7,7 @@
 
 // The newest part of a window holds what came lately, and no older round of
 // its buckets.
-func TestNewestPartOfAWindow(t *testing.T) {
+func TestWindowNewestBuckets(t *testing.T) {
 	const length = 2 * time.Second
 	now := time.Now()
 	var w window
@@ -27,25 +27,25 @@
 }
 
 // A service with many requests is in trouble as soon as the newest second shows it.
-func TestTroubleShowsInASecond(t *testing.T) {
+func TestDegradationIsDetectedWithinASecond(t *testing.T) {
 	var svc service
 	now := time.Now()
 	for i := range 300 { // 2 s at 150 requests a second, all served
-		svc.served.add(now.Add(time.Duration(i)*time.Second/150), troubleWindow, 1)
+		svc.served.add(now.Add(time.Duration(i)*time.Second/150), outcomeWindow, 1)
 	}
 	now = now.Add(2 * time.Second)
-	if svc.troubled(now) {
+	if svc.isDegraded(now) {
 		t.Fatal("in trouble although all were served")
 	}
 	for i := range 120 { // 0.8 s in which one in ten is not
 		at := now.Add(time.Duration(i) * time.Second / 150)
 		if i%10 == 0 {
-			svc.unserved.add(at, troubleWindow, 1)
+			svc.unserved.add(at, outcomeWindow, 1)
 		} else {
-			svc.served.add(at, troubleWindow, 1)
+			svc.served.add(at, outcomeWindow, 1)
 		}
 	}
-	if !svc.troubled(now.Add(800 * time.Millisecond)) {
+	if !svc.isDegraded(now.Add(800 * time.Millisecond)) {
 		t.Error("not in trouble although one in ten was unserved for 0.8 s")
 	}
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -74,25 +74,25 @@
 mutant "homes of route and customer" internal/frontend/customer.go 's/^		req.Homes = req.Homes.And(holder.Homes)$//' ./platform -run Homes
 mutant "cold servers" internal/engine/serviceview.go 's/if svc.Config.ColdPerSecond <= 0 {/if true {/' ./platform -run ColdServer
 mutant "cold again" internal/registry/registry.go 's/ || now.Add(time.Duration(other.Warmup)).Sub(e.coldUntil) > coldAgain \&\& other.Warmup > 0//' ./platform -run ColdAgain
-mutant "breadth where requests are enough" internal/policy/breadth.go 's/ \&\& svc.effortFor(now, wanted) <= need.effort//' ./internal/policy -run RequestsEnough
-mutant "servers that join" internal/policy/breadth.go 's/func (s \*server) isUntried() bool { return .* }/func (s *server) isUntried() bool { return false }/' ./internal/policy -run Joins
-mutant "servers that are met are not new" internal/policy/table.go 's/return !view.JoinedAt.IsZero() \&\& now.Sub(view.JoinedAt) < newFor/return true/' ./internal/policy -run NewServersAreTrusted
+mutant "breadth where requests are enough" internal/policy/breadth.go 's/ \&\& svc.requestShareFor(now, wanted) <= need.maxRequestShare//' ./internal/policy -run CoverageRequires
+mutant "servers that join" internal/policy/breadth.go 's/func (s \*server) isUntried() bool { return .* }/func (s *server) isUntried() bool { return false }/' ./internal/policy -run JoinedServer
+mutant "servers that are met are not new" internal/policy/table.go 's/return !view.JoinedAt.IsZero() \&\& now.Sub(view.JoinedAt) < newServerPeriod/return true/' ./internal/policy -run NewServersAreTrusted
 mutant "requests with little time" internal/policy/patience.go 's/return shortest > 0 \&\& queue/return false \&\& queue/' ./experiment/replay -run LittleTime
 mutant "hosts wait for a reader that lists" internal/system/configsync/configsync.go 's/if s.standIn.hearsReader \&\& now.Sub(s.standIn.heard) <= silentAfter {/if false {/' ./experiment/loops -run LongList
 mutant "readers are heard before their first answer" internal/system/configsync/takeover.go 's/if !s.conf.StandIn || !IsReader(w) {/if !s.conf.StandIn || !IsReader(w) || s.standIn.answered.IsZero() {/' ./internal/system/configsync -run UnansweredReader
 mutant "comparisons stay near" internal/membership/config.go 's/farComparisons = 8$/farComparisons = 1/' ./internal/membership -run ComparisonsStayNear
 mutant "bounded overflow" internal/policy/pick.go 's/	overflowSample = 128$/	overflowSample = 100000/' ./internal/policy -run Overflow
-mutant "late reports" internal/policy/report.go 's/if next.before(p.counts) {/if false {/' ./internal/policy
-mutant "servers stay in use" internal/policy/breadth.go 's/return unusedGain/return 0/' ./internal/policy
+mutant "late reports" internal/policy/report.go 's/if next.isOlderThan(p.counts) {/if false {/' ./internal/policy
+mutant "servers stay in use" internal/policy/breadth.go 's/return unusedServerBonus/return 0/' ./internal/policy
 mutant "a server that closes at once" internal/dispatch/send.go 's/return kind == errs.KindBroken \&\& !failure.Reused/return false/' ./platform -run ClosesAtOnce -count=20
-mutant "a send that never left" internal/policy/outcome.go 's/	if done.Unsent {/	if false {/' ./internal/policy -run NeverLeft
-mutant "a server out of a neighbour's reach" internal/policy/report.go 's/	case unreached > 0:/	case false:/' ./internal/policy -run Unreached
-mutant "errors after work" internal/policy/outcome.go 's/done.FirstByte > quickError(p)/false/' ./internal/policy
-mutant "broken idle connections" internal/policy/retries.go 's/if is.staleConnections > was.staleConnections {/if false {/' ./internal/policy
+mutant "a send that never left" internal/policy/outcome.go 's/	if done.Unsent {/	if false {/' ./internal/policy -run UnsentRequest
+mutant "a server out of a neighbour's reach" internal/policy/report.go 's/	case unreached > 0:/	case false:/' ./internal/policy -run ConnectionFailureOfPeer
+mutant "errors after work" internal/policy/outcome.go 's/done.FirstByte > fastErrorLimit(p)/false/' ./internal/policy
+mutant "broken idle connections" internal/policy/retries.go 's/if current.staleConnections > previous.staleConnections {/if false {/' ./internal/policy
 mutant "bound of idle time" internal/upstream/idle.go 's/if maxIdle > 0 \&\& idle > maxIdle {/if false {/' ./internal/upstream
 mutant "refused writes" internal/upstream/conn.go 's/if n == 0 \&\& err != nil {/if false {/' ./internal/upstream
 mutant "told load is shared" internal/policy/report.go 's/if l.ToldLoad > 0 {/if false {/' ./internal/policy
-mutant "first report is a use" internal/policy/report.go 's/!known || next.requests/next.requests/' ./internal/policy
+mutant "first report is a use" internal/policy/report.go 's/case first:/case false:/' ./internal/policy
 mutant "contents are counted" internal/quarantine/quarantine.go 's/	serversEnded = 3$/	serversEnded = 300/' ./e2e -run TestRequestThatEndsServers
 mutant "an answer clears a content" internal/quarantine/suspect.go 's/^	delete(t.suspects, id)$//' ./internal/quarantine -run 'Nothing|AnswerClears'
 mutant "an answer at any host clears" internal/quarantine/table.go 's/q.Trials == 0 \&\& t.answers.refute(q)/false/' ./internal/quarantine -run AnswerAtAnyHost
@@ -110,24 +110,24 @@
 mutant "path faults leave half" internal/system/rotation/rotation.go 's|stays := max(p.floor, (len(p.svc.Backends)+1)/2)|stays := p.floor|' ./internal/system/rotation
 mutant "suspension" internal/engine/engine.go 's/pause := max(world.Elapsed(e.lastTick, now), now.Sub(e.lastTick)+slept)/pause := world.Elapsed(e.lastTick, now)/' ./internal/engine
 mutant "spent allowance" internal/policy/pick.go 's/return rule.IdempotentFailure + spent\*/return rule.IdempotentFailure + 0*spent*/' ./internal/policy
-mutant "trouble within a second" internal/policy/breadth.go 's/ || svc.manyUnserved(now, windowBuckets\/2)//' ./internal/policy
+mutant "trouble within a second" internal/policy/breadth.go 's/ || svc.hasManyUnserved(now, windowBuckets\/2)//' ./internal/policy
 mutant "new hosts ask again" internal/membership/probe.go 's/case l.Live() > youngSyncHosts:/case true:/' ./internal/membership
 mutant "missing documents only" internal/system/configsync/configsync.go 's/if w.Document(key).Revision == 0 {/if true {/' ./internal/system/configsync
 mutant "start grace" internal/system/configsync/configsync.go 's/heard: now.Add(startGrace)/heard: now/' ./internal/system/configsync
 mutant "refusal after an owner broke off" internal/dispatch/forward.go 's/if x.written \&\& Outcome/if false \&\& Outcome/' ./internal/dispatch
 mutant "refusal here after an owner broke off" internal/dispatch/dispatch.go 's/refusal.Outcome == OutcomeNotRun \&\& x.written/false/' ./internal/dispatch
 mutant "young hosts spend their own" internal/policy/retries.go 's/if age < rule.Window \&\& /if false \&\& /' ./internal/policy
-mutant "waiting requests are evidence" internal/policy/silence.go 's/	return min(float64(total)\/1e6, maxSilence).*/	return 0/' ./internal/policy
-mutant "slow services say nothing" internal/policy/silence.go 's/, maxSilence) \* svc.calm(now)/, maxSilence)/' ./internal/policy
-mutant "evidence of neighbours" internal/policy/silence.go 's/		if now.Sub(peer.at) < peerExpiry {/		if false {/' ./internal/policy
-mutant "abandoned requests are evidence" internal/policy/outcome.go 's/s.learnSilence(now, done.silence)/_ = done.silence/' ./internal/policy
-mutant "short deadlines say nothing" internal/policy/outcome.go 's/case done.TimedOut \&\& done.silence < overdue:/case false:/' ./internal/policy
+mutant "waiting requests are evidence" internal/policy/silence.go 's/	return min(float64(total)\/1e6, maxUnansweredLogOdds).*/	return 0/' ./internal/policy
+mutant "slow services say nothing" internal/policy/silence.go 's/, maxUnansweredLogOdds) \* svc.unansweredWeight(now)/, maxUnansweredLogOdds)/' ./internal/policy
+mutant "evidence of neighbours" internal/policy/silence.go 's/		if now.Sub(peer.at) < peerReportTTL {/		if false {/' ./internal/policy
+mutant "abandoned requests are evidence" internal/policy/outcome.go 's/s.recordUnanswered(now, done.unansweredLogOdds)/_ = done.unansweredLogOdds/' ./internal/policy
+mutant "short deadlines say nothing" internal/policy/outcome.go 's/case done.TimedOut \&\& done.unansweredLogOdds < overdueLogOdds:/case false:/' ./internal/policy
 mutant "copies of reads" internal/policy/copies.go 's/	if !t.has(MechanismCopies) {/	if true {/' ./e2e -ginkgo.focus "by a copy"
 mutant "no copies of writes" internal/dispatch/copies.go 's/ \&\& x.req.Idempotent \&\& / \&\& /' ./e2e -ginkgo.focus "no second copy"
 mutant "usual times by route" internal/policy/routes.go 's/ok \&\& r.answers > 0 \&\& /ok \&\& false \&\& /' ./internal/policy
-mutant "hopeless requests" internal/policy/admission.go 's/hopeless = 0.9/hopeless = 2.0/' ./internal/policy
+mutant "hopeless requests" internal/policy/admission.go 's/missedDeadlineThreshold = 0.9/missedDeadlineThreshold = 2.0/' ./internal/policy
 mutant "standing queue" internal/policy/admission.go 's/standingShare = 0.5/standingShare = 2.0/' ./experiment/replay -run StandingQueue
-mutant "less urgent make room" internal/policy/admission.go 's/lessUrgent = 0.5/lessUrgent = 1.0/' ./experiment/replay -run Priorities
+mutant "less urgent make room" internal/policy/admission.go 's/lowPriorityFactor = 0.5/lowPriorityFactor = 1.0/' ./experiment/replay -run Priorities
 mutant "time is over" internal/dispatch/exchange.go 's/ \&\& x.broken < maxBroken \&\& ctx.Err() == nil {/ \&\& !isCallerGone(ctx) {/' ./platform -run TimeOver
 mutant "signature" internal/dispatch/judge.go 's/marks.Signature != ""/marks.Signature == "-"/' ./platform -run Idempotent
 mutant "misdirected" internal/dispatch/judge.go 's/x.isMisdirected(answer) || x.d/x.d/' ./platform -run NotRun
@@ -143,8 +143,8 @@
 mutant "refusal before the body" internal/frontend/problem.go 's/^	settleBody(w, r)$//' ./platform -run TestUnknownKeyIsRefusedBefore -timeout 20s
 mutant "rate limits are asked for" internal/dispatch/ratelimit.go 's/case !verdict.OK:/case false:/' ./platform -run AllServersLimited
 mutant "unused token goes back" internal/dispatch/send.go 's/		x.returnToken(token)/		_ = token/' ./platform -run UnusedToken
-mutant "copies spare limited servers" internal/policy/copies.go 's/if r.Beside .*/if false {/' ./internal/policy -run Spared
-mutant "limited servers cost more" internal/policy/pick.go 's/if req.isLimited(b) {/if false {/' ./internal/policy -run Spared
+mutant "copies spare limited servers" internal/policy/copies.go 's/if r.Beside .*/if false {/' ./internal/policy -run RateLimitedServers
+mutant "limited servers cost more" internal/policy/pick.go 's/if req.isLimited(b) {/if false {/' ./internal/policy -run RateLimitedServers
 mutant "equal parts of small limits" internal/quota/quota.go 's/EqualParts: true, //' ./internal/quota -run Remember
 mutant "nothing saved for going on alone" internal/quota/question.go 's/if !s.unheard \&\& !t.rule.SavesAlone {/if false {/' ./internal/quota -run GoOnAlone
 mutant "a later answer ends a limit" internal/ratelimit/listener.go 's/isLater := .*/isLater := true/' ./internal/ratelimit
@@ -153,8 +153,8 @@
 mutant "a limit told to all hosts" internal/daemon/ratelimit.go 's/	r.d.engine.Write(now, register)/	_ = register/' ./platform -run AllHostsKnow
 mutant "parts are kept back" internal/quota/part.go 's/kept += u.part/kept += 0/' ./internal/quota
 mutant "repeated question" internal/quota/home.go 's/told.Ask != 0 \&\& told.Ask == u.ask/false/' ./internal/quota
-mutant "trials" internal/policy/trial.go 's/^	return now.Sub(s.lastSent) > trialEvery.*/	return false/' ./experiment/replay -run TestTrials
-mutant "restart under the same ID" internal/policy/table.go 's/again := s.started != 0/again := false/' ./internal/policy
+mutant "trials" internal/policy/trial.go 's/^	return now.Sub(s.lastSent) > trialInterval.*/	return false/' ./experiment/replay -run TestTrials
+mutant "restart under the same ID" internal/policy/table.go 's/restarted := s.started != 0/restarted := false/' ./internal/policy
 mutant "entries of other writers" platform/configuration.go 's/if \*r.State != stateReady \&\& \*r.State != stateDraining {/if false {/' ./platform -run TestEntries
 
 echo "$survivors survivors"
