--- a/internal/policy/availability_test.go
+++ b/internal/policy/availability_test.go
@@ -11,7 +11,7 @@
 	"github.com/pearshelf/pearshelf/internal/ratelimit"
 )
 
-// reportedStates returns what servers have reportedStates by now.
+// reportedStates returns the availability that results from the reports of servers.
 func reportedStates(now time.Time, reports map[string]protocol.ServerState) availability.Moment {
 	table := availability.NewTable(func() time.Time { return now })
 	for id, report := range reports {
@@ -20,16 +20,15 @@
 	return table.Now()
 }
 
-// Neither a first send nor a copy nor a trial goes to a server that takes no requests by its
-// own report, not even while too few servers are in use; where there is no other, none is
-// picked.
+// A server that reports that it takes no requests receives neither first sends nor copies nor trials,
+// not even while too few servers are in use. If there is no other server, none is picked.
 func TestServersThatTakeNoRequestsAreNotPicked(t *testing.T) {
 	for name, report := range map[string]protocol.ServerState{"leaving": {Leaving: true}, "resting": {Rest: time.Minute}} {
 		t.Run(name, func(t *testing.T) {
 			table, now := newTable()
 			v := view(3)
 			sendTo(t, table, now, v, "b0", Done{Outcome: Failed})
-			now = now.Add(10 * time.Second) // b0 has had no request for long: all that looks for such servers wants it
+			now = now.Add(10 * time.Second) // b0 is overdue for coverage and for a trial
 			moment := reportedStates(now, map[string]protocol.ServerState{"b0": report})
 			for _, idempotent := range []bool{true, false} {
 				for range 50 {
@@ -47,7 +46,7 @@
 			all := reportedStates(now, map[string]protocol.ServerState{"b0": report, "b1": report, "b2": report})
 			req.Availability = all
 			if _, err := table.Pick(now, v, req); errs.KindOf(err) != errs.KindNoBackend {
-				t.Errorf("with all of them away: %v", err)
+				t.Errorf("no server available: %v", err)
 			}
 		})
 	}
@@ -75,7 +74,7 @@
 	mustPick(t, table, at, v, req)
 }
 
-// rateLimitsOf is a view in which servers name rate limits.
+// rateLimitsOf is a view in which the given servers announce a rate limit.
 func rateLimitsOf(ids ...string) *ratelimit.View {
 	var limits []ratelimit.Limit
 	for _, id := range ids {
@@ -84,8 +83,8 @@
 	return ratelimit.NewView(limits)
 }
 
-// A server that names a rate limit gets requests where the others do not serve, and is not left
-// out of use; copies and trials do not go there.
+// A server that announces a rate limit gets fewer requests than the others, but is not left out of
+// use. It receives no copies and no trials.
 func TestRateLimitedServersAreAvoided(t *testing.T) {
 	table, now := newTable()
 	v := view(3)
@@ -101,15 +100,15 @@
 		table.Finish(now, got, Done{Outcome: Good, FirstByte: time.Millisecond})
 	}
 	if limited == 0 || limited > picks/6 {
-		t.Errorf("the limited server has %d of %d requests", limited, picks)
+		t.Errorf("the rate-limited server got %d of %d requests", limited, picks)
 	}
 	req := Request{Idempotent: true, RateLimits: limits, Exclude: []string{"b1", "b2"}}
 	if got := mustPick(t, table, now, v, req); got.Server.ID != "b0" {
-		t.Errorf("%s has the request, though only b0 is left", got.Server.ID)
+		t.Errorf("picked %s, want b0, the only server not excluded", got.Server.ID)
 	}
 	req.Beside, req.Service, req.DataCentre = true, "s", "dc1"
 	if got, err := table.Pick(now, v, req); err == nil {
-		t.Errorf("a copy goes to %s", got.Server.ID)
+		t.Errorf("a copy is sent to rate-limited %s", got.Server.ID)
 	}
 	sendTo(t, table, now, v, "b0", Done{Outcome: Failed})
 	if got, due := table.Trial(now.Add(10*time.Second), v, req); due {
--- a/internal/policy/breadth_test.go
+++ b/internal/policy/breadth_test.go
@@ -8,8 +8,8 @@
 	"github.com/pearshelf/pearshelf/internal/api/peerpb"
 )
 
-// In a time of trouble nearly all servers without a failure in the last second
-// are in use within the users' 2 s, also such as are believed to fail.
+// While a service is degraded, nearly all servers without a failure in the last second are in use
+// within 2 s, including those believed to be failing.
 func TestDegradedServiceUsesAllServers(t *testing.T) {
 	const servers = 20
 	table, now := newTable()
@@ -19,7 +19,7 @@
 	}
 	svc := table.service("s")
 	svc.unserved.add(now, outcomeWindow, 100)
-	for i := range 5 { // believed to fail, and longer ago than the rule asks for
+	for i := range 5 { // believed to be failing, but past the failure cooldown
 		row := table.servers[key{"s", fmt.Sprint("b", i)}]
 		row.health.observeFailure(now)
 		row.failedAt = now.Add(-10 * time.Second)
@@ -36,8 +36,8 @@
 	}
 }
 
-// While many requests are refused beyond their customers' limits, servers that are believed
-// to fail are used too, also by requests that run once.
+// While many requests are refused beyond their customers' limits, servers believed to be failing are
+// used too, also by non-repeatable requests.
 func TestHeavilyLimitedServiceUsesFailingServers(t *testing.T) {
 	for _, limited := range []int{0, 40} {
 		table, now := newTable()
@@ -61,15 +61,15 @@
 			now = now.Add(10 * time.Millisecond)
 		}
 		if used := toFailing > 1; used != (limited > 0) {
-			t.Errorf("%d refused beyond limits: %d of 60 requests went to doubted servers", limited, toFailing)
+			t.Errorf("%d refused beyond limits: %d of 60 requests went to failing servers", limited, toFailing)
 		}
 	}
 }
 
-// A server that must be used was picked, and the kept connection of the send had been closed:
-// nothing reached the server, and the request went to another one. The server counted as used for
-// 1.8 s all the same; with six of eleven servers passed over so, sound servers had no request for
-// 2 s while many requests were not served.
+// A server was picked to keep it in use, but the request never reached it because the kept connection
+// had been closed, and was sent to another server. The first one counted as in use for 1.8 s all the
+// same. With six of eleven servers skipped like this, healthy servers had no request for 2 s while
+// many requests were unserved.
 func TestUnsentRequestDoesNotCountAsUse(t *testing.T) {
 	for name, unsent := range map[string]Done{
 		"kept connection was closed": {Outcome: Neutral, Unsent: true},
@@ -85,19 +85,19 @@
 		row := table.servers[p.key]
 		table.Finish(now.Add(time.Millisecond), p, unsent)
 		if now.Sub(row.lastSent) <= inUsePeriod {
-			t.Errorf("%s: the server counts as used", name)
+			t.Errorf("%s: the server counts as in use", name)
 		}
 		later := mustPick(t, table, now, v, Request{First: true})
 		row = table.servers[later.key]
 		table.Finish(now.Add(time.Millisecond), later, Done{Outcome: Good, FirstByte: time.Millisecond})
 		if now.Sub(row.lastSent) > inUsePeriod {
-			t.Errorf("%s: a server that has answered does not count as used", name)
+			t.Errorf("%s: a server that has answered does not count as in use", name)
 		}
 	}
 }
 
-// A host tells that it has sent to a server, and a moment later that it could not reach it: it
-// was no use of the server, which others may reach.
+// A host reports that it has sent a request to a server, and shortly after that it could not connect.
+// The server then does not count as in use, since other hosts may be able to reach it.
 func TestConnectionFailureOfPeerDoesNotCountAsUse(t *testing.T) {
 	table, now := newTable()
 	v := view(2)
@@ -113,15 +113,15 @@
 	sent := now.Add(time.Second)
 	report(sent, counts{good: 1, requests: 2})
 	if !row.lastSent.Equal(sent) {
-		t.Fatal("a send of a neighbour is no use")
+		t.Fatal("a send of a peer does not count as a use")
 	}
 	report(sent.Add(time.Millisecond), counts{good: 1, requests: 2, unreachable: 1})
 	if row.lastSent.Equal(sent) || row.lastSent.Before(before) {
-		t.Errorf("the server counts as used %s after its last use", row.lastSent.Sub(before))
+		t.Errorf("the server counts as used %s after its actual last use", row.lastSent.Sub(before))
 	}
 	both := sent.Add(2 * time.Second)
 	report(both, counts{good: 1, requests: 3, unreachable: 2})
 	if row.lastSent.Equal(both) {
-		t.Error("a send that is told together with its failure to connect counts as a use")
+		t.Error("a send that is reported together with its connection failure counts as a use")
 	}
 }
--- a/internal/policy/connections_test.go
+++ b/internal/policy/connections_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// An idle connection that broke under a request keeps the non-idempotent
-// requests of the whole data centre on connections that were just in use, and
-// says little against the server.
+// After an idle connection has broken under a request, the hosts of the data centre send
+// non-idempotent requests only on recently used connections. The failure belief of the server hardly
+// changes.
 func TestBrokenIdleConnection(t *testing.T) {
 	sender, now := newTable()
 	peer, _ := newTable()
@@ -21,26 +21,26 @@
 	near, failing := sender.Changes(now)
 	peer.Report(now, "h2", 1, near, true)
 	if len(failing) != 0 {
-		t.Errorf("all hosts are told of %v", failing)
+		t.Errorf("%v is sent to all hosts", failing)
 	}
 	if belief := sender.servers[key{"s", "b0"}].health.probabilityAt(now); belief > 0.3 {
 		t.Errorf("belief %.2f after one broken connection", belief)
 	}
-	for name, table := range map[string]*Table{"the host": sender, "its neighbour": peer} {
+	for name, table := range map[string]*Table{"the host": sender, "its peer": peer} {
 		for _, idempotent := range []bool{true, false} {
-			lease := mustPick(t, table, time.Now(), v, Request{First: true, Idempotent: idempotent})
-			if bounded := lease.MaxIdle > 0; bounded == idempotent {
+			placement := mustPick(t, table, time.Now(), v, Request{First: true, Idempotent: idempotent})
+			if bounded := placement.MaxIdle > 0; bounded == idempotent {
 				t.Errorf("%s, idempotent %t: idle time bounded %t", name, idempotent, bounded)
 			}
 		}
-		if lease := mustPick(t, table, time.Now().Add(2*staleConnectionPeriod), v, Request{First: true}); lease.MaxIdle > 0 {
+		if placement := mustPick(t, table, time.Now().Add(2*staleConnectionPeriod), v, Request{First: true}); placement.MaxIdle > 0 {
 			t.Errorf("%s: idle time still bounded after %s", name, 2*staleConnectionPeriod)
 		}
 	}
 }
 
-// A new connection that breaks, or one that breaks after the usual time of a
-// request's work, is the server's failure.
+// A new connection that breaks, or one that breaks after the typical work of a request, counts as a
+// failure of the server.
 func TestBrokenConnectionInUse(t *testing.T) {
 	for name, done := range map[string]Done{
 		"new connection": {Outcome: Failed, Took: time.Millisecond},
@@ -51,7 +51,7 @@
 		sendTo(t, table, now, v, "b0", Done{Outcome: Good, FirstByte: 200 * time.Millisecond})
 		sendTo(t, table, now, v, "b0", done)
 		if belief := table.servers[key{"s", "b0"}].health.probabilityAt(now); belief < 0.9 {
-			t.Errorf("%s: belief %.2f, want near certainty", name, belief)
+			t.Errorf("%s: belief %.2f, want at least 0.9", name, belief)
 		}
 	}
 }
--- a/internal/policy/copies.go
+++ b/internal/policy/copies.go
@@ -7,38 +7,37 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// Where servers leave requests unanswered, an idempotent request must not wait for
-// its first server until its time is over: a second server gets a copy while the
-// first goes on, and the first whole answer wins. A copy costs work, which others
-// then wait for, a part of the retry allowance, and bytes if it goes to another
-// data centre. So it is sent when the loss that it saves, by what is known at that
-// moment, exceeds what it costs.
+// If a server leaves a request unanswered, an idempotent request should not wait for it until its
+// deadline. A copy is sent to a second server while the first continues (a hedged request), and the
+// first complete answer is used. A copy costs work that other requests then wait for, a part of the
+// retry allowance, and traffic if it is sent to another data centre. It is therefore sent once the
+// expected loss that it avoids exceeds its cost.
 const (
-	// reviewQuantile of the answers have come before a copy is considered.
+	// reviewQuantile is the quantile of the latency distribution before which no copy is considered.
 	reviewQuantile = 0.7
-	// reviewStep is the time between two considerations, in usual times.
+	// reviewStep is the interval between two reviews, in units of the expected latency.
 	reviewStep = 0.15
-	// copyBaseCost is the cost of a copy at an idle data centre, copyLoad what is added
-	// where its servers have a request for each slot, growing with the square;
-	// copySpent what is added as the retry allowance is spent. In requests lost.
+	// copyBaseCost is the cost of a copy in an idle data centre. copyLoadCost is added where all
+	// slots of its servers are in use, and copyAllowanceCost where the retry allowance is spent;
+	// both grow with the square. The unit is one lost request.
 	copyBaseCost      = 0.05
 	copyLoadCost      = 0.25
 	copyAllowanceCost = 0.3
 )
 
-// Review says whether a request that waits at a server should have a copy now and,
-// if not, when to ask again; 0 for never. req.Exclude names the servers that it has
-// had, that of p included.
+// Review reports whether a copy of a request that waits on a server should be sent now and, if not,
+// when to call Review again; 0 means never. req.Exclude lists the servers that have received the
+// request, including that of p.
 func (t *Table) Review(now time.Time, view *world.ServiceView, req Request, p *Placement) (copyNow bool, after time.Duration) {
 	if !t.has(MechanismCopies) {
 		return false, 0
 	}
 	svc := t.service(req.Service)
 	age := now.Sub(p.pending.since)
-	usual := p.pending.expected
-	first := time.Duration(svc.latencies.quantile(reviewQuantile) * float64(usual))
-	if age < first {
-		return false, first - age
+	expected := p.pending.expected
+	earliest := time.Duration(svc.latencies.quantile(reviewQuantile) * float64(expected))
+	if age < earliest {
+		return false, earliest - age
 	}
 	if req.timeLeft(now) <= 0 {
 		return false, 0
@@ -46,10 +45,10 @@
 	if t.isCopyWorthwhile(now, view, req, p) {
 		return true, 0
 	}
-	return false, max(time.Duration(reviewStep*float64(usual)), time.Millisecond)
+	return false, max(time.Duration(reviewStep*float64(expected)), time.Millisecond)
 }
 
-// isCopyWorthwhile compares the loss that a copy saves with its cost.
+// isCopyWorthwhile compares the expected loss that a copy avoids with the cost of the copy.
 func (t *Table) isCopyWorthwhile(now time.Time, view *world.ServiceView, req Request, p *Placement) bool {
 	used := t.retriesUsed(now, req.Service, req.Fleet)
 	if !used.allowsOne() {
@@ -70,26 +69,26 @@
 	return waiting*(1-other) > cost
 }
 
-// lossIfWaiting is the expected loss of a request that waits at a server: it may
-// never be answered, or too late.
+// lossIfWaiting is the expected loss of a request that continues to wait on a server: the answer may
+// never come, or come too late.
 func (t *Table) lossIfWaiting(now time.Time, svc *service, req Request, p *Placement) float64 {
 	age := now.Sub(p.pending.since)
 	unanswered := svc.latencies.probabilityAfter(age, p.pending.expected)
-	hang := svc.unansweredProbability()
+	neverAnswered := svc.unansweredProbability()
 	belief := 0.0
 	if s, known := t.servers[p.key]; known {
 		if s.process != p.process {
-			return 1 // the process that had it is gone
+			return 1 // the process that received the request has been replaced
 		}
 		belief = s.belief(now, svc)
 	}
-	never := belief * hang / (hang + (1-hang)*unanswered)
+	never := belief * neverAnswered / (neverAnswered + (1-neverAnswered)*unanswered)
 	late := svc.latencies.probabilityAfter(age+req.objectiveLeft(now), p.pending.expected) / unanswered
 	lost := svc.latencies.probabilityAfter(age+req.timeLeft(now), p.pending.expected) / unanswered
 	return never + (1-never)*t.lateLoss(min(late, 1), min(lost, 1))
 }
 
-// lossIfSent is the expected lossIfSent of a request sent to a server now.
+// lossIfSent is the expected loss of a request that is sent to a server now.
 func (t *Table) lossIfSent(svc *service, failure float64, expected, objectiveLeft, left time.Duration) float64 {
 	late := svc.latencies.probabilityAfter(objectiveLeft, expected)
 	lost := svc.latencies.probabilityAfter(left, expected)
@@ -100,7 +99,7 @@
 	return t.conf.Cost.Late*late + (t.conf.Cost.Failure-t.conf.Cost.Late)*lost
 }
 
-// utilization is the part of the slots of the subset in this data centre that have a request, 1 at most.
+// utilization is the share of the slots of the subset in this data centre that are in use, at most 1.
 func (t *Table) utilization(now time.Time, view *world.ServiceView, req Request) float64 {
 	load, slots := 0.0, 0
 	servers := view.Candidates()
@@ -120,7 +119,7 @@
 	return min(load/float64(slots), 1)
 }
 
-// objectiveLeft is the time in which an answer still meets the objective.
+// objectiveLeft is the time until the latency objective of the request expires.
 func (r Request) objectiveLeft(now time.Time) time.Duration {
 	objective := r.Objective
 	if objective <= 0 {
@@ -132,7 +131,7 @@
 // timeLeft is the time until the request's deadline.
 func (r Request) timeLeft(now time.Time) time.Duration { return r.Deadline.Sub(now) }
 
-// elapsed is how long the request has been here.
+// elapsed is the time since this host received the request.
 func (r Request) elapsed(now time.Time) time.Duration {
 	if r.Asked.IsZero() {
 		return 0
@@ -140,14 +139,14 @@
 	return now.Sub(r.Asked)
 }
 
-// allows reports whether the request may go to a server: the server takes such requests and
-// has not had this one.
+// allows reports whether the request may be sent to a server: the server takes such requests and
+// has not received this one.
 func (r Request) allows(b *world.BackendView) bool {
 	if b.IdempotentOnly && !r.Idempotent {
 		return false
 	}
 	if r.Beside && r.isLimited(b) {
-		return false // the room is for requests that no server works on
+		return false // reserved for requests that no server is processing
 	}
 	return !slices.Contains(r.Exclude, b.ID) && r.isAvailable(b)
 }
--- a/internal/policy/fewrequests_test.go
+++ b/internal/policy/fewrequests_test.go
@@ -8,7 +8,7 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// useAll lets a table know each server by an answer, and by its requests at a rate a server.
+// useAll sends one request to each server.
 func useAll(t *testing.T, table *Table, now time.Time, servers int) {
 	t.Helper()
 	v := view(servers)
@@ -17,8 +17,8 @@
 	}
 }
 
-// shareSentToUnused sends requests at a rate a server and returns the part of them that went to
-// servers which had been out of use for longer than they need be. All servers are sound.
+// shareSentToUnused sends requests at a rate per server, and returns the share of them that went to
+// servers which had been out of use for longer than inUsePeriod. All servers are healthy.
 func shareSentToUnused(t *testing.T, perServer float64) float64 {
 	t.Helper()
 	const servers = 40
@@ -47,20 +47,20 @@
 	return float64(idle) / float64(picked)
 }
 
-// Requests go to servers only because these are out of use where there are requests enough to
-// keep servers in use. Where servers get one every few seconds such picks would be nearly all,
-// each to a server of which the least is known.
+// Servers are picked for being out of use only if there are enough requests to keep servers in use. If
+// servers get one request every few seconds nearly all picks would be of this kind, each of a server
+// about which the least is known.
 func TestCoverageRequiresEnoughRequests(t *testing.T) {
 	few, many := shareSentToUnused(t, 0.3), shareSentToUnused(t, 3)
 	if few > 0.5 {
-		t.Errorf("at 0.3 requests a second and server %.2f of them went to servers out of use", few)
+		t.Errorf("at 0.3 requests per second and server, %.2f of them went to servers out of use", few)
 	}
 	if many < 0.05 {
-		t.Errorf("at 3 requests a second and server %.2f of them went to servers out of use", many)
+		t.Errorf("at 3 requests per second and server, %.2f of them went to servers out of use", many)
 	}
 }
 
-// joinedFrom is a service of count servers, those from first on have just joined.
+// joinedFrom is a service of count servers, of which those from index first on have just joined.
 func joinedFrom(first, count int, now time.Time) *world.ServiceView {
 	v := view(count)
 	for i := first; i < count; i++ {
@@ -69,20 +69,20 @@
 	return v
 }
 
-// A server that joins gets a request soon, also where there are few.
+// A server that joins gets a request soon, even if there are few requests.
 func TestJoinedServerIsTried(t *testing.T) {
 	table, now := newTable()
 	useAll(t, table, now, 20)
 	now = now.Add(10 * time.Second)
-	for range 4 { // that they are good is known well
+	for range 4 { // enough answers for a low failure belief
 		useAll(t, table, now, 20)
 	}
 	now = now.Add(100 * time.Millisecond)
 	if p := mustPick(t, table, now, joinedFrom(20, 21, now), Request{First: true, Idempotent: true}); p.Server.ID != "b20" {
-		t.Errorf("the next request went to %s, want the server that has joined", p.Server.ID)
+		t.Errorf("the next request went to %s, want the joined server", p.Server.ID)
 	}
 	if p := mustPick(t, table, now, joinedFrom(20, 21, now), Request{First: true, Idempotent: true}); p.Server.ID == "b20" {
-		t.Error("the request after it went to the server that has joined too")
+		t.Error("the following request went to the joined server too")
 	}
 	const joined, sent = 30, 40
 	tried := 0
@@ -96,11 +96,11 @@
 		now = now.Add(10 * time.Millisecond)
 	}
 	if tried == 0 || tried > sent/2 {
-		t.Errorf("%d of %d requests that run once were the first of servers that have joined", tried, sent)
+		t.Errorf("%d of %d non-repeatable requests were the first of joined servers", tried, sent)
 	}
 }
 
-// A pick that finds no good server in the subset looks at a bounded number of others.
+// A pick that finds no good server in the subset compares a bounded number of other servers.
 func TestOverflowIsBounded(t *testing.T) {
 	compared := make(map[int]int)
 	for _, servers := range []int{100, 400, 3600} {
@@ -114,12 +114,12 @@
 		}
 		p := mustPick(t, table, now, v, Request{First: true})
 		if p.Server.ID <= "b9" && len(p.Server.ID) == 2 {
-			t.Errorf("of %d servers one of the failing subset was picked", servers)
+			t.Errorf("%d servers: picked one of the failing subset", servers)
 		}
 		compared[servers] = len(table.servers)
 	}
 	if compared[3600] > compared[400]*3/2 {
-		t.Errorf("of 3600 servers %d were compared, of 400 %d", compared[3600], compared[400])
+		t.Errorf("compared %d of 3600 servers, %d of 400", compared[3600], compared[400])
 	}
 }
 
@@ -139,7 +139,7 @@
 	}
 }
 
-// BenchmarkPick is one pick that overflows.
+// BenchmarkPick measures a pick that overflows the subset.
 func BenchmarkPick(b *testing.B) {
 	for _, servers := range []int{27, 400, 3592} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
--- a/internal/policy/outcome.go
+++ b/internal/policy/outcome.go
@@ -6,66 +6,67 @@
 	"github.com/pearshelf/pearshelf/internal/protocol"
 )
 
-// What a request's end says of its server depends on its time: an error at once is
-// the server's, one after the request's work most likely the request's own, and a
-// connection that had been idle may have been forgotten.
+// What the end of a request says about its server depends on the timing: an immediate error is caused by
+// the server, one that comes after the work of the request most likely by the request itself, and a
+// connection that had been idle may have been dropped by the server.
 
-// QuickErrorShare of a server's usual time ends what counts as an error at once: it lies
-// between the errors of servers in a spell and those after a request's work.
+// QuickErrorShare is the share of a server's typical latency up to which an error counts as
+// immediate. It lies between the latency of errors of failing servers and that of errors which come
+// after the work of a request.
 const QuickErrorShare = 0.12
 
-// Outcome is what became of one request at a backend server.
+// Outcome is the result of one request on a backend server.
 type Outcome int
 
-// Outcomes.
+// Outcomes of a request.
 const (
-	// Good: a whole answer that is no error of the server.
+	// Good is a complete answer that is not a server error.
 	Good Outcome = iota
-	// Failed: an error, a reset, a wrong, cut or missing answer.
+	// Failed is an error, a connection reset, or a wrong, truncated or missing answer.
 	Failed
-	// lateError: an error after the usual time of a request's work. The table
-	// tells it from Failed itself.
+	// lateError is an error that came after the typical work of a request. Finish distinguishes
+	// it from Failed.
 	lateError
-	// staleConnection: a connection that had been idle broke as soon as a request
-	// was sent on it. The table tells it from Failed itself.
+	// staleConnection is a previously idle connection that broke as soon as a request was sent on
+	// it. Finish distinguishes it from Failed.
 	staleConnection
-	// Unreachable: no connection could be made.
+	// Unreachable means that no connection could be established.
 	Unreachable
-	// Shed: the server refused the request for lack of room.
+	// Shed means that the server refused the request for lack of capacity.
 	Shed
-	// Abandoned: given up without an answer, because another server's copy won or
-	// the caller went away.
+	// Abandoned means that the request was given up without an answer, because the other copy was
+	// answered first or the caller disconnected.
 	Abandoned
-	// Neutral: nothing was learnt.
+	// Neutral means that nothing was learned about the server.
 	Neutral
 )
 
-// Done is the end of one request that Pick gave a server.
+// Done describes the end of a request that Pick placed on a server.
 type Done struct {
 	Outcome Outcome
-	// FirstByte is the time to the header of an answer, 0 if there was none.
+	// FirstByte is the time to the header of the answer, 0 if there was none.
 	FirstByte time.Duration
-	// Load is what the server told, nil if nothing.
+	// Load is the load that the server reported, nil if it reported none.
 	Load *protocol.Load
-	// Bytes is the size of a good answer's body.
+	// Bytes is the size of the body of a good answer.
 	Bytes int64
-	// Reused is whether a failed request was sent on a connection that had been
-	// used before, and Took the time until it broke or was given up.
+	// Reused is set if a failed request was sent on a connection that had been used before. Took
+	// is the time until the request failed or was abandoned.
 	Reused bool
 	Took   time.Duration
-	// Unsent is set where no byte of the request reached the server.
+	// Unsent is set if no byte of the request reached the server.
 	Unsent bool
-	// TimedOut is set for a failed request that had no answer when its time was over.
+	// TimedOut is set for a failed request that had no answer when its time ran out.
 	TimedOut bool
-	// slowness is FirstByte against what is usual for the route and the queue, late
-	// whether the answer came after the objective.
+	// slowness is the ratio of FirstByte to what is typical for the route and the queue. late is
+	// set if the answer came after the objective.
 	slowness float64
 	late     bool
-	// unansweredLogOdds is the evidence, in log odds, of the time that it waited in vain.
+	// unansweredLogOdds is the evidence, in log odds, of the time that the request went unanswered.
 	unansweredLogOdds float64
 }
 
-// Finish ends a request that Pick placed. It must be called once a placement.
+// Finish records the end of a request that Pick placed. It must be called exactly once per placement.
 func (t *Table) Finish(now time.Time, p *Placement, done Done) {
 	s, ok := t.servers[p.key]
 	if !ok {
@@ -73,7 +74,7 @@
 	}
 	svc := t.service(p.key.service)
 	svc.dirty = true
-	if p.process != s.process { // says nothing of the process that has the ID now
+	if p.process != s.process { // says nothing about the current process
 		svc.totals.add(done)
 		svc.recordOutcome(now, done)
 		return
@@ -109,11 +110,11 @@
 	}
 }
 
-// classify tells outcomes apart by their time.
+// classify distinguishes outcomes by their timing.
 func classify(p *Placement, done Done) Outcome {
 	switch {
 	case done.TimedOut && done.unansweredLogOdds < overdueLogOdds:
-		return Abandoned // it had too little time to say much
+		return Abandoned // too little time to be evidence
 	case done.Outcome == Failed && done.FirstByte > fastErrorLimit(p):
 		return lateError
 	case done.Outcome == Failed && done.Reused && done.Took < fastErrorLimit(p):
@@ -123,7 +124,7 @@
 	}
 }
 
-// recordLatency takes the time of a good answer.
+// recordLatency updates the latency statistics with a good answer.
 func (t *Table) recordLatency(now time.Time, s *server, svc *service, p *Placement, done Done) {
 	svc.latencies.add(float64(done.FirstByte) / float64(p.pending.expected))
 	s.recordSlowness(done.slowness)
@@ -132,7 +133,7 @@
 	svc.typicalLatency += time.Duration(serviceLatencyWeight * float64(atIdle-svc.typicalLatency))
 }
 
-// applyOutcome takes an outcome.
+// applyOutcome updates the server's state with an outcome of this host.
 func (s *server) applyOutcome(now time.Time, done Done) {
 	s.counts.add(done)
 	switch done.Outcome {
@@ -152,23 +153,22 @@
 	case Unreachable:
 		s.health.observeUnreachable(now)
 		s.failureUnsent = true
-		hold := pathBackoff << min(s.pathFailures, 8)
+		backoff := pathBackoff << min(s.pathFailures, 8)
 		s.pathFailures++
-		s.pathUntil = now.Add(min(hold, maxPathBackoff))
+		s.pathUntil = now.Add(min(backoff, maxPathBackoff))
 	}
 }
 
-// recordUnanswered takes the evidence of a request that was given up unanswered.
-func (s *server) recordUnanswered(now time.Time, silence float64) {
-	s.health.observeUnanswered(now, silence)
-	if silence > overdueLogOdds {
+// recordUnanswered adds the evidence of a request that was abandoned without an answer.
+func (s *server) recordUnanswered(now time.Time, logOdds float64) {
+	s.health.observeUnanswered(now, logOdds)
+	if logOdds > overdueLogOdds {
 		s.failedAt = now
 	}
 }
 
-// fastErrorLimit is the time up to which an error comes too soon to be the
-// request's own: the server did not work on it. Servers in a spell of failures
-// answer errors at once; an error that belongs to a request takes its work.
+// fastErrorLimit is the latency up to which an error cannot be the result of the request's own work.
+// Failing servers return errors immediately; an error caused by a request takes the time of its work.
 func fastErrorLimit(p *Placement) time.Duration {
 	return time.Duration(QuickErrorShare * float64(p.pending.work) * p.pending.slowness)
 }
--- a/internal/policy/restart_test.go
+++ b/internal/policy/restart_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A server whose process started again under its ID is a new one: no belief, load, time or
-// blocked path of the earlier process holds, and what was in flight there says nothing of
-// the new one.
+// A server whose process restarted under the same ID is a new server: belief, load, latency and path
+// backoff of the previous process are discarded, and its requests in flight say nothing about the new
+// one.
 func TestRestartResetsServerState(t *testing.T) {
 	table, now := newTable()
 	v := view(2)
@@ -28,10 +28,10 @@
 	placed := mustPick(t, table, now, v, Request{First: true})
 	row := table.servers[key{"s", "b0"}]
 	if placed.Load != 0 || row.inFlight != 1 {
-		t.Errorf("load %.1f when picked, %d in flight: the earlier process's request counts", placed.Load, row.inFlight)
+		t.Errorf("load %.1f when picked, %d in flight: the previous process's request counts", placed.Load, row.inFlight)
 	}
 	if placed.Belief > 2*newServerBelief || !row.failedAt.IsZero() || row.pathFailures != 0 || row.slowness != 1 {
-		t.Errorf("belief %.2f, %+v: the earlier process's failures count", placed.Belief, row)
+		t.Errorf("belief %.2f, %+v: the previous process's failures count", placed.Belief, row)
 	}
 	if !row.coldUntil.Equal(now.Add(time.Second)) {
 		t.Errorf("cold until %s", row.coldUntil.Sub(now))
@@ -39,7 +39,7 @@
 
 	table.Finish(now, inFlight, Done{Outcome: Failed, FirstByte: time.Millisecond})
 	if row.inFlight != 1 || !row.failedAt.IsZero() || row.counts.failed != before.failed {
-		t.Errorf("%d in flight, %d failed: the end of the earlier process's request counts", row.inFlight, row.counts.failed)
+		t.Errorf("%d in flight, %d failed: the end of the previous process's request counts", row.inFlight, row.counts.failed)
 	}
 	table.Finish(now, placed, Done{Outcome: Good, FirstByte: time.Millisecond})
 	if row.inFlight != 0 || row.counts.good != before.good+1 {
@@ -47,7 +47,7 @@
 	}
 }
 
-// An entry that does not say when its process started is no restart.
+// An entry without the start time of the process does not count as a restart.
 func TestUnknownStartTimeIsNoRestart(t *testing.T) {
 	table, now := newTable()
 	v := view(1)
@@ -60,7 +60,7 @@
 	}
 }
 
-// An idempotent request at a process that is gone is worth a copy at once.
+// An idempotent request that was sent to a replaced process is worth a copy immediately.
 func TestRequestToReplacedProcessIsLost(t *testing.T) {
 	table, now := newTable()
 	v := view(2)
--- a/internal/policy/routes.go
+++ b/internal/policy/routes.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-// Routes of one service may differ in their work a hundredfold, so that one usual
-// time for all says nothing about any: what is expected of a request, and with it
-// whether it is overdue, goes by the answers to its own route. How much slower than
-// others a server is, is one figure for all routes.
+// The work of the routes of one service may differ by a factor of a hundred, so that a single typical
+// latency would describe none of them. The expected latency of a request, and thereby whether it is
+// overdue, is derived from the answers to its own route. The slowness of a server is one value for
+// all routes.
 const (
-	// minRouteWeight is the least weight of one answer in the usual time and size of a
-	// route; the first ones weigh more.
+	// minRouteWeight is the minimum weight of one answer in the moving averages of a route's
+	// latency and answer size; the first answers have a higher weight.
 	minRouteWeight = 0.05
-	// priorRouteAnswers is how many answers the usual time of the service counts for.
+	// priorRouteAnswers is the number of answers that the service's typical latency counts for.
 	priorRouteAnswers = 2
-	// minRouteAnswers are needed before requests are refused, or make room, by the usual
-	// time of a route, and the newest must have come within knownFor: what is refused
-	// brings no answer, so that a wrong figure would never be put right.
+	// minRouteAnswers is the number of answers required before requests are refused, or yield to
+	// others, because of a route's typical latency. The newest answer must be no older than
+	// routeLatencyTTL: refused requests bring no answers, so that a wrong estimate would never be
+	// corrected.
 	minRouteAnswers = 3
 	routeLatencyTTL = 5 * time.Second
-	// slownessWeight is the weight of one answer in the slowness of a server.
+	// slownessWeight is the weight of one answer in the moving average of a server's slowness.
 	slownessWeight = 0.2
-	// minSlowness and mostSlowness bound what one answer can say of a server.
+	// minSlowness and maxSlowness limit the influence of one answer on a server's slowness.
 	minSlowness = 0.05
 	maxSlowness = 20.0
 )
 
-// route is what this host knows of the good answers to one route.
+// route holds the statistics of this host about the good answers of one route.
 type route struct {
 	answers        int
-	newestAt       time.Time     // when the newest came
-	typicalLatency time.Duration // to the header, at an idle server of usual speed
+	newestAt       time.Time     // when the newest answer came
+	typicalLatency time.Duration // to the header, on an idle server of typical speed
 	bytes          float64       // of the body
 }
 
-// record notes a good answer. The first ones are weighed with what is usual for the
-// service: any of them may be an odd one.
+// record adds a good answer. The first answers are averaged with the typical latency of the service,
+// because any of them may be an outlier.
 func (r *route) record(now time.Time, atIdle time.Duration, bytes float64) {
 	r.answers++
 	r.newestAt = now
@@ -42,7 +43,7 @@
 	r.bytes += max(1/float64(r.answers), minRouteWeight) * (bytes - r.bytes)
 }
 
-// route returns the row of a route, made if absent.
+// route returns the statistics of a route, creating them if needed.
 func (t *Table) route(svc *service, group string) *route {
 	r, ok := t.routes[group]
 	if !ok {
@@ -52,8 +53,8 @@
 	return r
 }
 
-// typicalLatency is the typicalLatency time of a request's route, that of its service if the route
-// has had no answer here.
+// typicalLatency is the typical latency of a route, or that of its service if this host has seen no
+// answer of the route.
 func (t *Table) typicalLatency(svc *service, group string) time.Duration {
 	if r, ok := t.routes[group]; ok && r.answers > 0 && t.has(MechanismRouteLatency) {
 		return r.typicalLatency
@@ -61,8 +62,7 @@
 	return svc.typicalLatency
 }
 
-// routeIfKnown returns a route whose usual time is known by answers of late, nil if it
-// is not.
+// routeIfKnown returns a route whose typical latency is known from recent answers, otherwise nil.
 func (t *Table) routeIfKnown(now time.Time, group string) *route {
 	r, ok := t.routes[group]
 	if !ok || r.answers < minRouteAnswers || now.Sub(r.newestAt) > routeLatencyTTL {
@@ -71,7 +71,7 @@
 	return r
 }
 
-// expireRoutes drops routes without an answer for long: they may be gone.
+// expireRoutes drops routes without an answer for stateTTL: they may have been removed.
 func (t *Table) expireRoutes(now time.Time) {
 	for group, r := range t.routes {
 		if now.Sub(r.newestAt) > stateTTL {
@@ -80,7 +80,7 @@
 	}
 }
 
-// typicalBytes is the usual size of an answer to a route, 0 if unknown.
+// typicalBytes is the typical size of a route's answers, 0 if unknown.
 func (t *Table) typicalBytes(group string) float64 {
 	if r, ok := t.routes[group]; ok {
 		return r.bytes
@@ -88,25 +88,26 @@
 	return 0
 }
 
-// recordSlowness notes how slow answers were, 1 for the usual time.
+// recordSlowness updates the server's slowness with the latency of answers relative to what is
+// typical.
 func (s *server) recordSlowness(ratio float64) {
 	ratio = min(max(ratio, minSlowness), maxSlowness)
 	s.slowness += slownessWeight * (ratio - s.slowness)
 }
 
-// estimate is how long a request takes to its header at a server, queue included.
+// estimate is the expected time to the header of a request's answer, including the queue.
 type estimate struct {
-	// atTypicalSpeed is the time at a server of usual speed, expected that at this one.
+	// atTypicalSpeed is the latency on a server of typical speed, expected that on this server.
 	atTypicalSpeed time.Duration
 	expected       time.Duration
-	// work is the part of atUsual that is the request's own.
+	// work is the part of atTypicalSpeed that the request itself takes.
 	work time.Duration
 }
 
-// estimate goes by the usual time of the request's route, by the queue that is
-// ahead of it, and by the server's slowness.
-func (s *server) estimate(now time.Time, svc *service, usual time.Duration, load float64) estimate {
-	e := estimate{work: max(usual, time.Microsecond)}
+// estimate combines the typical latency of the request's route, the queue ahead of it, and the
+// server's slowness.
+func (s *server) estimate(now time.Time, svc *service, typical time.Duration, load float64) estimate {
+	e := estimate{work: max(typical, time.Microsecond)}
 	e.atTypicalSpeed = e.work + time.Duration(float64(svc.typicalLatency)*s.queuedPerSlot(load))
 	slowness := s.slowness
 	if now.Before(s.coldUntil) {
@@ -116,8 +117,8 @@
 	return e
 }
 
-// queuedPerSlot is how many requests must end at a server before one more begins, for
-// each slot.
+// queuedPerSlot is the number of requests per slot that a server must complete before it starts
+// another one.
 func (s *server) queuedPerSlot(load float64) float64 {
 	slots := float64(max(s.slots, 1))
 	return max(load+1-slots, 0) / slots
--- a/internal/policy/silence.go
+++ b/internal/policy/silence.go
@@ -6,63 +6,62 @@
 	"time"
 )
 
-// A server in a spell may not fail requests but leave them unanswered. Then a
-// failure shows only when a request's time is over, a second and more later, and
-// all that are sent there meanwhile are lost with it. So a request that goes
-// unanswered is evidence already while it waits, the more the fewer answers of its
-// service take so long. Its answer takes that back: the evidence is computed from
-// the requests that wait now, and nothing of it is kept.
+// A failing server may leave requests unanswered. The failure then shows only when the time of a
+// request has run out, a second or more later, and all requests sent to the server meanwhile are lost
+// as well. An unanswered request therefore counts as evidence while it is still waiting, and the more
+// so the fewer answers of the service take that long. Its answer revokes the evidence, since this is
+// computed from the requests that are currently waiting and not stored.
 //
-// Hosts tell the age of their oldest request with what they tell anyway, and each
-// computes the rest.
+// Hosts include the age of their oldest request in their reports, and each host computes the evidence
+// from that.
 const (
-	// maxUnansweredLogOdds bounds the log odds from requests that wait (55 to 1): they may wait
-	// for one cause, such as one long request before them.
+	// maxUnansweredLogOdds limits the log odds from waiting requests (55 to 1): they may wait for
+	// a common cause, such as one long request ahead of them.
 	maxUnansweredLogOdds = 4.0
-	// unansweredShareWeight is the weight of one failure in the share of failures that are
-	// silent, hangPrior that share before any.
+	// unansweredShareWeight is the weight of one failure in the moving average of the share of
+	// failures that bring no answer; priorUnansweredShare is the initial value of that share.
 	unansweredShareWeight = 0.1
 	priorUnansweredShare  = 0.5
-	// slowServiceLateShare is the share of late answers of a service at which requests that
-	// wait say nothing any more: then it is the load that keeps them. Below it the
-	// evidence counts in part.
+	// slowServiceLateShare is the share of late answers of a service from which on waiting
+	// requests are no evidence at all, because the load then explains the wait. Below it the
+	// evidence is reduced proportionally.
 	slowServiceLateShare = 0.15
-	// overdueLogOdds is the evidence, in log odds, from which a server that has a request
-	// waiting counts as failing now: 8 to 1.
+	// overdueLogOdds is the evidence, in log odds, above which a server with waiting requests
+	// counts as failing: 8 to 1.
 	overdueLogOdds = 2.08
 )
 
-// pending is a request at a server that has no answer yet.
+// pending is a request on a server that has not been answered yet.
 type pending struct {
 	since    time.Time
-	estimate         // when it was sent
-	slowness float64 // of the server then
+	estimate         // as of when it was sent
+	slowness float64 // of the server at that time
 }
 
-// unansweredProbability is the chance that a request at a server in a spell is left unanswered.
+// unansweredProbability is the probability that a failing server leaves a request unanswered.
 func (svc *service) unansweredProbability() float64 { return failingFailureRate * svc.unansweredShare }
 
-// recordFailure notes whether a failure was silent.
-func (svc *service) recordFailure(silent bool) {
+// recordFailure updates the share of failures that bring no answer.
+func (svc *service) recordFailure(unanswered bool) {
 	target := 0.0
-	if silent {
+	if unanswered {
 		target = 1
 	}
 	svc.unansweredShare += unansweredShareWeight * (target - svc.unansweredShare)
 }
 
-// requestLogOdds is the evidence for a spell, in log odds, of a request that has gone
+// requestLogOdds is the evidence, in log odds, that a server is failing which has left a request
 // unanswered for some time.
 func (svc *service) requestLogOdds(age, expected time.Duration) float64 {
-	sound := svc.latencies.probabilityAfter(age, expected)
-	if age <= 0 || sound > 0.999 {
-		return 0 // no time at all has passed, by what is usual
+	healthy := svc.latencies.probabilityAfter(age, expected)
+	if age <= 0 || healthy > 0.999 {
+		return 0 // too early for an answer
 	}
-	hang := svc.unansweredProbability()
-	return math.Log((hang + (1-hang)*sound) / sound)
+	unanswered := svc.unansweredProbability()
+	return math.Log((unanswered + (1-unanswered)*healthy) / healthy)
 }
 
-// unansweredLogOdds is the evidence of all requests that wait at a server.
+// unansweredLogOdds is the combined evidence of all requests waiting on a server.
 func (s *server) unansweredLogOdds(now time.Time, svc *service) float64 {
 	if !svc.beliefOptions.unanswered {
 		return 0
@@ -70,7 +69,7 @@
 	if len(s.pending)+len(s.busyPeers) == 0 {
 		return 0
 	}
-	total := int64(0) // in millionths: the sum must not depend on the order
+	total := int64(0) // fixed point, in millionths, so that the sum does not depend on the order
 	for _, p := range s.pending {
 		total += int64(1e6 * svc.requestLogOdds(now.Sub(p.since), p.expected))
 	}
@@ -82,18 +81,17 @@
 	return min(float64(total)/1e6, maxUnansweredLogOdds) * svc.unansweredWeight(now)
 }
 
-// unansweredWeight is 1 where answers of a service come in time, and 0 where so many are late
-// that waiting says nothing of one server.
+// unansweredWeight scales the evidence of waiting requests: 1 if the answers of the service are in
+// time, 0 if so many are late that a long wait says nothing about a single server.
 func (svc *service) unansweredWeight(now time.Time) float64 {
-	if !now.Equal(svc.unansweredWeightAt) { // each pick asks for each server
+	if !now.Equal(svc.unansweredWeightAt) { // cached, since each pick reads it for each server
 		svc.unansweredWeightAt = now
 		svc.cachedUnansweredWeight = max(1-svc.lateShare(now)/slowServiceLateShare, 0)
 	}
 	return svc.cachedUnansweredWeight
 }
 
-// belief is the belief that a server is in a spell, with the evidence of the
-// requests that wait there.
+// belief is the probability that a server is failing, including the evidence of waiting requests.
 func (s *server) belief(now time.Time, svc *service) float64 {
 	if !svc.beliefOptions.outcomes {
 		return stationaryBelief
@@ -103,19 +101,19 @@
 	return p * odds / (p*odds + 1 - p)
 }
 
-// failureProbability is the chance that the next request at a server fails.
+// failureProbability is the probability that the next request on a server fails.
 func (s *server) failureProbability(now time.Time, svc *service) float64 {
 	return healthyFailureRate + (failingFailureRate-healthyFailureRate)*s.belief(now, svc)
 }
 
-// removePending forgets a request that has ended.
+// removePending removes a request that has ended.
 func (s *server) removePending(p *pending) {
 	if i := slices.Index(s.pending, p); i >= 0 {
 		s.pending = slices.Delete(s.pending, i, i+1)
 	}
 }
 
-// oldestAge is how long this host's oldest request waits at a server.
+// oldestAge is how long the oldest request of this host has been waiting on a server.
 func (s *server) oldestAge(now time.Time) time.Duration {
 	age := time.Duration(0)
 	for _, p := range s.pending {
--- a/internal/policy/silence_test.go
+++ b/internal/policy/silence_test.go
@@ -11,7 +11,7 @@
 
 const work = 200 * time.Millisecond
 
-// warmUp serves requests at all servers, so that usual times are known.
+// warmUp serves requests on all servers, so that typical latencies are known.
 func warmUp(t *testing.T, table *Table, now time.Time, v *world.ServiceView) {
 	t.Helper()
 	for range 10 {
@@ -26,8 +26,8 @@
 	return &world.ServiceView{Backends: v.Backends[i : i+1]}
 }
 
-// A request that goes unanswered turns others away while it waits, at this host and
-// at its neighbours, and its answer takes that back.
+// An unanswered request raises the failure belief of its server while it waits, at this host and at its
+// peers, and its answer reverts that.
 func TestWaitingRequestIsEvidence(t *testing.T) {
 	table, now := newTable()
 	neighbour, _ := newTable()
@@ -38,27 +38,27 @@
 	near, _ := table.Changes(now)
 	neighbour.Report(now, "h2", 1, near, true)
 	later := now.Add(4 * work)
-	for name, tab := range map[string]*Table{"the host": table, "its neighbour": neighbour} {
+	for name, tab := range map[string]*Table{"the host": table, "its peer": neighbour} {
 		svc, row := tab.service("s"), tab.servers[key{"s", "b0"}]
 		before, after := row.health.probabilityAt(later), row.belief(later, svc)
 		if after < 5*before || after < 0.3 {
-			t.Errorf("%s: belief %.3f after four times the usual time, %.3f without the request that waits", name, after, before)
+			t.Errorf("%s: belief %.3f after four times the typical latency, %.3f without the waiting request", name, after, before)
 		}
 		if early := row.belief(now.Add(work/2), svc); early > 1.1*row.health.probabilityAt(now.Add(work/2)) {
-			t.Errorf("%s: belief %.3f after half of the usual time", name, early)
+			t.Errorf("%s: belief %.3f after half of the typical latency", name, early)
 		}
 	}
 	table.Finish(later, hung, Done{Outcome: Good, FirstByte: 4 * work})
 	near, _ = table.Changes(later)
 	neighbour.Report(later, "h2", 1, near, true)
-	for name, tab := range map[string]*Table{"the host": table, "its neighbour": neighbour} {
+	for name, tab := range map[string]*Table{"the host": table, "its peer": neighbour} {
 		if belief := tab.servers[key{"s", "b0"}].belief(later, tab.service("s")); belief > 0.1 {
-			t.Errorf("%s: belief %.3f although the answer came", name, belief)
+			t.Errorf("%s: belief %.3f after the answer", name, belief)
 		}
 	}
 }
 
-// What a request that was given up has shown stays, and other hosts hear of it.
+// The evidence of an abandoned request is kept, and reported to other hosts.
 func TestAbandonedRequestIsEvidence(t *testing.T) {
 	table, now := newTable()
 	neighbour, _ := newTable()
@@ -71,14 +71,14 @@
 	sendTo(t, table, now, v, "b0", Done{Outcome: Abandoned, Took: 4 * work})
 	near, _ = table.Changes(now)
 	neighbour.Report(now, "h2", 1, near, true)
-	for name, tab := range map[string]*Table{"the host": table, "its neighbour": neighbour} {
+	for name, tab := range map[string]*Table{"the host": table, "its peer": neighbour} {
 		if belief := tab.servers[key{"s", "b0"}].health.probabilityAt(now); belief < 5*before {
 			t.Errorf("%s: belief %.3f, %.3f before", name, belief, before)
 		}
 	}
 }
 
-// A request that had hardly any time says nothing when its time is over.
+// A request that times out after hardly any time is no evidence against the server.
 func TestShortDeadlineIsNoEvidence(t *testing.T) {
 	table, now := newTable()
 	v := view(1)
@@ -90,8 +90,8 @@
 	}
 }
 
-// The age of a host's oldest request comes with its report, so that the evidence
-// does not begin anew when a report was lost.
+// A report includes the age of the host's oldest request, so that a lost report does not reset the
+// evidence.
 func TestReportIncludesOldestRequest(t *testing.T) {
 	table, now := newTable()
 	v := view(1)
@@ -99,12 +99,12 @@
 	table.Report(now, "h2", 7, []*peerpb.BackendLoad{{Service: "s", Backend: "b0", InFlight: 1, Requests: 1, OldestMs: 900}}, true)
 	svc, row := table.service("s"), table.servers[key{"s", "b0"}]
 	if row.unansweredLogOdds(now, svc) < overdueLogOdds {
-		t.Errorf("evidence %.2f of a request that waits 900 ms where %s are usual", row.unansweredLogOdds(now, svc), work)
+		t.Errorf("evidence %.2f of a request that has waited 900 ms, typical latency %s", row.unansweredLogOdds(now, svc), work)
 	}
 }
 
-// A copy is considered once most answers have come, sent when its server looks
-// better than waiting on, and not while its own data centre has no room.
+// A copy is considered once most answers would have come, and sent if another server is expected to do
+// better than waiting, but not while the servers of the data centre are full.
 func TestReview(t *testing.T) {
 	table, now := newTable()
 	now = now.Add(time.Minute)
@@ -115,10 +115,10 @@
 	waiting := mustPick(t, table, now, v, req)
 	req.Exclude = []string{waiting.Server.ID}
 	if copyNow, after := table.Review(now.Add(work/2), v, req, waiting); copyNow || after <= 0 {
-		t.Errorf("after half of the usual time: copy %t, next review in %s", copyNow, after)
+		t.Errorf("after half of the typical latency: copy %t, next review in %s", copyNow, after)
 	}
 	if copyNow, _ := table.Review(now.Add(2*work), v, req, waiting); !copyNow {
-		t.Error("no copy after twice the usual time")
+		t.Error("no copy after twice the typical latency")
 	}
 	if copyNow, after := table.Review(now.Add(11*work), v, req, waiting); copyNow || after != 0 {
 		t.Errorf("after the deadline: copy %t, next review in %s", copyNow, after)
@@ -129,19 +129,19 @@
 		}
 	}
 	if copyNow, _ := table.Review(now.Add(work*3/2), v, req, waiting); copyNow {
-		t.Error("a copy although all servers are full")
+		t.Error("copy sent while all servers are full")
 	}
 }
 
-// A request that no server can answer in its time is refused at once; one that has
-// time is not.
+// A request that no server can answer before its deadline is refused immediately; one with enough time
+// is not, nor is one whose latency is not known from recent answers.
 func TestRequestThatCannotMeetDeadlineIsRefused(t *testing.T) {
 	table, now := newTable()
 	v := view(1)
 	warmUp(t, table, now, v)
 	req := Request{Service: "s", DataCentre: "dc1", First: true, Asked: now, Deadline: now.Add(work / 8), Objective: time.Second}
 	if _, err := table.Pick(now.Add(2*routeLatencyTTL), v, req); err != nil {
-		t.Errorf("no answer of late: %v: what is refused brings no answer that could put the usual time right", err)
+		t.Errorf("no recent answer: %v: refused requests bring no answers that could correct the typical latency", err)
 	}
 	unknown := req
 	unknown.Group = "new"
@@ -149,16 +149,16 @@
 		t.Errorf("a route without any answer: %v", err)
 	}
 	if _, err := table.Pick(now, v, req); errs.KindOf(err) != errs.KindQueueFull {
-		t.Errorf("an eighth of the usual time left: %v, want %s", err, errs.KindQueueFull)
+		t.Errorf("an eighth of the typical latency left: %v, want %s", err, errs.KindQueueFull)
 	}
 	req.Deadline = now.Add(5 * work)
 	if _, err := table.Pick(now, v, req); err != nil {
-		t.Errorf("five times the usual time left: %v", err)
+		t.Errorf("five times the typical latency left: %v", err)
 	}
 }
 
-// A standing queue is told by the share of late answers of the data centre, this
-// host's and the others'.
+// A standing queue is detected by the share of late answers in the data centre, including those of
+// other hosts.
 func TestLateAnswersOfPeersCount(t *testing.T) {
 	table, now := newTable()
 	table.Report(now, "h2", 7, []*peerpb.BackendLoad{{Service: "s"}}, true)
@@ -171,8 +171,8 @@
 	}
 }
 
-// Where the whole service is slow it is the load that keeps requests, and none of
-// its servers is suspected for it.
+// If the whole service is slow, waiting requests are caused by the load and are no evidence against a
+// server.
 func TestSlowServiceIsNoEvidence(t *testing.T) {
 	table, now := newTable()
 	v := view(1)
@@ -181,7 +181,7 @@
 	svc, row := table.service("s"), table.servers[key{"s", "b0"}]
 	later := now.Add(4 * work)
 	if row.unansweredLogOdds(later, svc) < overdueLogOdds {
-		t.Fatalf("evidence %.2f of a request that waits four times the usual time", row.unansweredLogOdds(later, svc))
+		t.Fatalf("evidence %.2f of a request that has waited four times the typical latency", row.unansweredLogOdds(later, svc))
 	}
 	table.Report(later, "h2", 7, []*peerpb.BackendLoad{{Service: "s"}}, true)
 	table.Report(later, "h2", 7, []*peerpb.BackendLoad{{Service: "s", Good: 100, Late: 40}}, true)
--- a/internal/policy/table_test.go
+++ b/internal/policy/table_test.go
@@ -33,14 +33,14 @@
 	if req.DataCentre == "" {
 		req.DataCentre = "dc1"
 	}
-	lease, err := table.Pick(now, v, req)
+	placement, err := table.Pick(now, v, req)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return lease
+	return placement
 }
 
-// sendTo sends a request to a server and notes its outcome.
+// sendTo sends a request to the given server and records its outcome.
 func sendTo(t *testing.T, table *Table, now time.Time, v *world.ServiceView, id string, done Done) {
 	t.Helper()
 	only := &world.ServiceView{}
@@ -60,7 +60,7 @@
 	s.observeFailure(now)
 	twice := s.probabilityAt(now)
 	if once < 0.9 || twice < 0.99 {
-		t.Errorf("belief %.2f after one failure at once and %.2f after two, want near certainty", once, twice)
+		t.Errorf("belief %.2f after one immediate failure and %.2f after two, want at least 0.9 and 0.99", once, twice)
 	}
 	if later := s.probabilityAt(now.Add(time.Minute)); later > 1.05*stationaryBelief {
 		t.Errorf("belief %.2f a minute later, want %.2f", later, stationaryBelief)
@@ -73,7 +73,7 @@
 	}
 }
 
-// A failure that another host saw turns this host's next request away.
+// After another host has reported a failure, this host's next requests avoid the server.
 func TestFailureAtAnotherHostDivertsRequests(t *testing.T) {
 	table, now := newTable()
 	v := view(2)
@@ -82,14 +82,14 @@
 	}
 	table.Report(now, "h2", 7, []*peerpb.BackendLoad{{Service: "s", Backend: "b0", Failed: 1}}, false)
 	for range 3 {
-		if lease := mustPick(t, table, now, v, Request{}); lease.Server.ID != "b1" {
-			t.Fatalf("request goes to %s, where two just failed", lease.Server.ID)
+		if placement := mustPick(t, table, now, v, Request{}); placement.Server.ID != "b1" {
+			t.Fatalf("request sent to %s, where another host's request just failed", placement.Server.ID)
 		}
 	}
 }
 
-// A repeated or late report counts nothing twice; a new life of the host is
-// counted from its start.
+// A repeated or out-of-order report is not counted twice; the reports of a new incarnation of the host
+// are counted from zero.
 func TestReportsCountOnce(t *testing.T) {
 	table, now := newTable()
 	first := []*peerpb.BackendLoad{{Service: "s", Requests: 3, Retries: 1}}
@@ -109,8 +109,8 @@
 	}
 }
 
-// Requests in flight from another host of the data centre fill a server here
-// too, and no longer once that host is not heard.
+// Requests in flight from another host of the data centre count against the capacity of a server, until
+// that host's reports expire.
 func TestPeersRequestsFillServers(t *testing.T) {
 	table, now := newTable()
 	v := view(1)
@@ -124,13 +124,13 @@
 	}
 }
 
-// What hosts of a data centre sent again comes out of one allowance.
+// The retries of all hosts of a data centre are counted against one allowance.
 func TestDataCentreSharesRetryAllowance(t *testing.T) {
 	table, now := newTable()
 	table.conf.Retry = RetryRule{Share: 0.2, Reserve: 20, Window: 10 * time.Second}
 	fleet := Fleet{Near: 10, All: 40}
 	now = now.Add(time.Minute)
-	for host := range 9 { // of a data centre of ten all are heard
+	for host := range 9 { // all ten hosts of the data centre report
 		table.Report(now, fmt.Sprint("h", host+2), 7, []*peerpb.BackendLoad{{Service: "s"}}, true)
 	}
 	table.Report(now, "h2", 7, []*peerpb.BackendLoad{{Service: "s", Requests: 50}}, true)
@@ -138,7 +138,7 @@
 	for now := now; table.AllowRetry(now, "s", fleet); allowed++ {
 		table.Report(now, "h2", 7, []*peerpb.BackendLoad{{Service: "s", Requests: 50, Retries: uint64(allowed + 1)}}, true)
 	}
-	// 0.75 of 0.2 of 50 requests and of a quarter of the reserve
+	// 0.75 of the sum of 0.2 of 50 requests and a quarter of the reserve
 	if allowed != 11 {
 		t.Errorf("%d retries allowed, want 11", allowed)
 	}
@@ -147,8 +147,8 @@
 	}
 }
 
-// What hosts that are not heard may send again is theirs to spend: a host that hears no
-// other keeps to its own part, of its requests and of the reserve.
+// The allowance of hosts that do not report is left to them: a host without any reports is limited to
+// its own part of the requests and of the reserve.
 func TestHostsWithoutReportsKeepTheirAllowance(t *testing.T) {
 	table, now := newTable()
 	table.conf.Retry = RetryRule{Share: 0.2, Reserve: 40, Window: 10 * time.Second}
@@ -160,21 +160,21 @@
 		table.Report(now, name, 7, []*peerpb.BackendLoad{{Service: "s", Requests: 100}}, true)
 	}
 	if used := table.retriesUsed(now, "s", fleet); used.allowance != retrySafety*(0.2*900+10) {
-		t.Errorf("%.1f retries allowed while all are heard", used.allowance)
+		t.Errorf("%.1f retries allowed while all hosts report", used.allowance)
 	}
 	cut := now.Add(peerTotalsTTL)
 	if used := table.retriesUsed(cut, "s", fleet); used.allowance != retrySafety*1 {
-		t.Errorf("%.1f retries allowed while no other host is heard, want a fortieth of the reserve", used.allowance)
+		t.Errorf("%.1f retries allowed while no other host reports, want a fortieth of the reserve", used.allowance)
 	}
 }
 
-// sharedSends is what all hosts that are heard sent.
+// sharedSends is what all hosts with recent reports have sent.
 func sharedSends(svc *service, now time.Time, length time.Duration) (requests, retries int) {
 	requests, retries, _ = svc.sharedSends(now, length)
 	return requests, retries
 }
 
-// A report that arrives behind a newer one brings no failure anew.
+// A report that arrives after a newer one does not count its failure again.
 func TestOutOfOrderReportIsIgnored(t *testing.T) {
 	table, now := newTable()
 	for _, failed := range []uint64{1, 2} {
@@ -191,8 +191,8 @@
 	}
 }
 
-// What another host counted before this one heard of it is long past: only its
-// newest failure is news.
+// What another host counted before its first report to this one is outdated: only its newest failure is
+// used.
 func TestFirstReportCountsOnlyNewestFailure(t *testing.T) {
 	beliefAfter := func(failed uint64) float64 {
 		table, now := newTable()
@@ -201,13 +201,13 @@
 		return table.servers[key{"s", "b0"}].health.probabilityAt(now)
 	}
 	if one, many := beliefAfter(1), beliefAfter(50); math.Abs(one-many) > 1e-3 {
-		t.Errorf("belief %.3f where 50 failures were counted, want %.3f as after one", many, one)
+		t.Errorf("belief %.3f after a first report of 50 failures, want %.3f as after one", many, one)
 	}
 }
 
-// An error that comes after the usual time of a request's work is most likely
-// the request's own: one must not turn requests away from a server, a row of
-// them must. An error at once does so alone.
+// An error that comes after the typical work of a request is most likely caused by the request: one of
+// them must not divert requests from the server, several in a row must. A single immediate error must
+// as well.
 func TestLateErrorsAreAttributedToRequests(t *testing.T) {
 	const work = 200 * time.Millisecond
 	beliefAfter := func(n int, took time.Duration) float64 {
@@ -220,17 +220,17 @@
 		return table.servers[key{"s", "b0"}].health.probabilityAt(now)
 	}
 	if late := beliefAfter(1, work); late > 0.3 {
-		t.Errorf("belief %.2f after one error that took a request's work, want it low", late)
+		t.Errorf("belief %.2f after one error that took a request's work, want at most 0.3", late)
 	}
 	if row := beliefAfter(6, work); row < 0.7 {
-		t.Errorf("belief %.2f after six such errors in a row, want it high", row)
+		t.Errorf("belief %.2f after six such errors in a row, want at least 0.7", row)
 	}
 	if quick := beliefAfter(1, work/100); quick < 0.9 {
-		t.Errorf("belief %.2f after one error at once, want near certainty", quick)
+		t.Errorf("belief %.2f after one immediate error, want at least 0.9", quick)
 	}
 }
 
-// Other hosts hear of errors after a request's work, and count them as unserved.
+// Late errors are reported to the hosts of the data centre, which count them as unserved.
 func TestLateErrorsAreReported(t *testing.T) {
 	sender, now := newTable()
 	receiver, _ := newTable()
@@ -241,7 +241,7 @@
 	sendTo(t, sender, now, v, "b0", Done{Outcome: Failed, FirstByte: 200 * time.Millisecond})
 	near, failing := sender.Changes(now)
 	if len(failing) != 0 {
-		t.Errorf("hosts of other data centres are told of %v", failing)
+		t.Errorf("%v is sent to hosts of other data centres", failing)
 	}
 	receiver.Report(now, "h2", 1, near, true)
 	if got := receiver.service("s").unserved.sum(now, outcomeWindow); got != 1 {
@@ -249,8 +249,8 @@
 	}
 }
 
-// A request that is picked for again, because a server could not be reached, is
-// counted once: each count adds to what may be sent again.
+// A request that is picked for again, because a server could not be reached, is counted once: each count
+// increases the retry allowance.
 func TestRepeatedPickCountsOnce(t *testing.T) {
 	table, now := newTable()
 	v := view(3)
@@ -264,7 +264,7 @@
 	}
 }
 
-// A lost report is made up by the host's next one, whatever server that is about.
+// A lost report is compensated by the host's next one, even if that is about another server.
 func TestLostReportIsCompensated(t *testing.T) {
 	sender, now := newTable()
 	receiver, _ := newTable()
@@ -279,9 +279,9 @@
 	}
 }
 
-// A host that has just started knows nothing of what was spent before: it takes
-// no other host's past for the present, and spends its own part only, however
-// many requests the others have.
+// A host that has just started does not know what was spent before. It does not count the past requests
+// of other hosts as current, and spends only its own part of the allowance, however many requests the
+// others have.
 func TestNewHostSpendsOnlyItsOwnAllowance(t *testing.T) {
 	table, now := newTable()
 	table.conf.Retry = RetryRule{Share: 0.2, Reserve: 20, Window: 10 * time.Second}
@@ -289,7 +289,7 @@
 	table.Report(now, "h2", 7, []*peerpb.BackendLoad{{Service: "s", Requests: 500, Retries: 50}}, true)
 	svc := table.service("s")
 	if got, _ := sharedSends(svc, now, table.conf.Retry.Window); got != 0 {
-		t.Errorf("%d requests of the past counted as of now", got)
+		t.Errorf("%d past requests counted as current", got)
 	}
 	now = now.Add(9 * time.Second)
 	table.Report(now, "h2", 7, []*peerpb.BackendLoad{{Service: "s", Requests: 1500, Retries: 50}}, true)
@@ -302,7 +302,7 @@
 	}
 }
 
-// The window forgets what is older than its length.
+// A window drops events that are older than its length.
 func TestWindowDropsOldEvents(t *testing.T) {
 	var w window
 	now := time.Now()
@@ -320,23 +320,23 @@
 	}
 }
 
-// Servers without a recent failure stay in use, although one server alone could
-// carry all requests; failing ones need not.
+// Servers without a recent failure stay in use even if a single server could handle all requests; a
+// failing server need not.
 func TestServersStayInUse(t *testing.T) {
 	table, start := newTable()
 	v := view(8)
 	used := make(map[string]int)
 	for step := range 100 {
 		now := start.Add(time.Duration(step) * 40 * time.Millisecond)
-		lease := mustPick(t, table, now, v, Request{})
+		placement := mustPick(t, table, now, v, Request{})
 		if step >= 50 {
-			used[lease.Server.ID]++
+			used[placement.Server.ID]++
 		}
 		outcome := Good
-		if lease.Server.ID == "b0" {
+		if placement.Server.ID == "b0" {
 			outcome = Failed
 		}
-		table.Finish(now, lease, Done{Outcome: outcome, FirstByte: 100 * time.Millisecond})
+		table.Finish(now, placement, Done{Outcome: outcome, FirstByte: 100 * time.Millisecond})
 	}
 	if len(used) < 6 {
 		t.Errorf("%d of 8 servers in use over 2 s: %v", len(used), used)
@@ -346,20 +346,20 @@
 	}
 }
 
-// A server that cannot be reached from here is left until the hold is over.
+// A server that this host cannot connect to is avoided until the backoff has passed.
 func TestUnreachableServerIsAvoided(t *testing.T) {
 	table, now := newTable()
 	v := view(2)
 	sendTo(t, table, now, v, "b0", Done{Outcome: Unreachable})
 	for range 5 {
-		if lease := mustPick(t, table, now, v, Request{Idempotent: true}); lease.Server.ID != "b1" {
-			t.Fatalf("request goes to %s, which cannot be reached", lease.Server.ID)
+		if placement := mustPick(t, table, now, v, Request{Idempotent: true}); placement.Server.ID != "b1" {
+			t.Fatalf("request sent to %s, which cannot be reached", placement.Server.ID)
 		}
 	}
 }
 
-// A large answer is worth waiting for in the own data centre, a small one is
-// had from another when the own servers fail.
+// If the servers of the own data centre fail, a small answer is fetched from another data centre, but a
+// large one is not.
 func TestLargeAnswersStayInTheDataCentre(t *testing.T) {
 	table, now := newTable()
 	v := view(2)
@@ -368,30 +368,30 @@
 	sendTo(t, table, now, v, "b0", Done{Outcome: Failed})
 	table.route(table.service("s"), "large").record(now, 100*time.Millisecond, 100_000)
 	table.route(table.service("s"), "small").record(now, 100*time.Millisecond, 500)
-	if lease := mustPick(t, table, now, v, Request{Idempotent: true, Group: "large"}); lease.Server.ID != "b0" {
-		t.Errorf("a large answer is fetched from %s", lease.Server.DataCentre)
+	if placement := mustPick(t, table, now, v, Request{Idempotent: true, Group: "large"}); placement.Server.ID != "b0" {
+		t.Errorf("large answer fetched from %s", placement.Server.DataCentre)
 	}
-	if lease := mustPick(t, table, now, v, Request{Idempotent: true, Group: "small"}); lease.Server.ID != "b1" {
-		t.Errorf("a small answer is asked for at a server that just failed")
+	if placement := mustPick(t, table, now, v, Request{Idempotent: true, Group: "small"}); placement.Server.ID != "b1" {
+		t.Errorf("small answer requested from a server that just failed")
 	}
 }
 
-// The load that a server tells counts beyond what is known, and fades.
+// The load that a server reports counts as far as it exceeds the known load, and decays.
 func TestReportedLoadDecays(t *testing.T) {
 	table, now := newTable()
 	v := view(1)
 	sendTo(t, table, now, v, "b0", Done{Outcome: Good, FirstByte: time.Millisecond, Load: &protocol.Load{Running: 3, Waiting: 6}})
 	row := table.servers[key{"s", "b0"}]
 	if load := row.load(row.loadReportedAt); load != 8 {
-		t.Errorf("load %.1f, want the 8 others that the server told of", load)
+		t.Errorf("load %.1f, want the 8 other requests that the server reported", load)
 	}
 	if load := row.load(row.loadReportedAt.Add(10 * reportedLoadHalfLife)); load > 0.1 {
-		t.Errorf("load %.1f long after it was told", load)
+		t.Errorf("load %.1f long after the report", load)
 	}
 }
 
-// Changes tell the data centre of every request and of the service's totals, all
-// hosts of failures only.
+// Changes sends every request and the service's totals to the data centre, but only failures to all
+// hosts.
 func TestChangesSendOnlyFailuresToAllHosts(t *testing.T) {
 	table, now := newTable()
 	v := view(2)
@@ -402,13 +402,12 @@
 		t.Errorf("near %v, far %v", near, far)
 	}
 	if near, far = table.Changes(now); len(near)+len(far) != 0 {
-		t.Errorf("told again without a change: %v, %v", near, far)
+		t.Errorf("sent again without a change: %v, %v", near, far)
 	}
 }
 
-// The servers that a host finds when it starts may be in a spell, and so may one that comes into its
-// subset because other hosts or servers came and went; one that joins has just started and is
-// held for sound.
+// Servers that a host finds when it starts may be failing, and so may one that enters its subset because
+// other hosts or servers joined or left. A server that joins has just started and is taken to be healthy.
 func TestNewServersAreTrusted(t *testing.T) {
 	table, now := newTable()
 	sendTo(t, table, now, view(2), "b0", Done{Outcome: Neutral})
@@ -418,7 +417,7 @@
 	mustPick(t, table, now, moved, Request{})
 	for _, id := range []string{"b3", "b4"} {
 		if met := table.servers[key{"s", id}].health.probabilityAt(now); met < 0.9*stationaryBelief {
-			t.Errorf("belief %.2f of %s that is no new server, want %.2f", met, id, stationaryBelief)
+			t.Errorf("belief %.2f of %s, which is no new server, want %.2f", met, id, stationaryBelief)
 		}
 	}
 	if found := table.servers[key{"s", "b0"}].health.probabilityAt(now); found < 0.9*stationaryBelief {
@@ -429,9 +428,8 @@
 	}
 }
 
-// An idempotent request that fails can be served elsewhere while the retry
-// allowance lasts. Once it is spent, the request keeps off a failing server
-// even where the other one is slower.
+// An idempotent request that fails can be retried on another server while the retry allowance lasts. Once
+// it is spent, a failure costs as much as a lost request, so that the request avoids failing servers.
 func TestSpentAllowanceAvoidsFailingServers(t *testing.T) {
 	table, now := newTable()
 	table.conf.Retry = RetryRule{Share: 0, Reserve: 40, Window: 10 * time.Second}
@@ -439,7 +437,7 @@
 	req := Request{Service: "s", Idempotent: true, Fleet: Fleet{Near: 1, All: 1}}
 	unspent := table.failureCost(req, table.spentAllowance(now, "s", req.Fleet))
 	if unspent >= table.conf.Cost.Failure {
-		t.Fatalf("a failure costs %.2f with the allowance unspent, want less than a lost request", unspent)
+		t.Fatalf("a failure costs %.2f with the allowance unspent, want less than for a lost request", unspent)
 	}
 	for table.AllowRetry(now, "s", req.Fleet) {
 		table.service("s").ownSends.retries.add(now, table.conf.Retry.Window, 1)
@@ -453,7 +451,7 @@
 	}
 }
 
-// A server counts as used from the first that another host tells of it.
+// The first report of another host about a server counts as a use of it.
 func TestFirstReportCountsAsUse(t *testing.T) {
 	table, now := newTable()
 	table.Report(now, "h2", 7, []*peerpb.BackendLoad{{Service: "s", Backend: "b0", InFlight: 1, Requests: 1}}, true)
@@ -462,8 +460,8 @@
 	}
 }
 
-// The load that a server tells one host guides the others of the data centre:
-// requests of other data centres fill it too, and nobody here counts them.
+// The load that a server reports to one host is forwarded to the others of the data centre: it includes
+// requests of other data centres, which no host of this one counts.
 func TestReportedLoadIsForwarded(t *testing.T) {
 	sender, now := newTable()
 	neighbour, _ := newTable()
@@ -473,12 +471,12 @@
 	neighbour.Report(now, "h2", 1, near, true)
 	row := neighbour.servers[key{"s", "b0"}]
 	if load := row.load(now); load < 7 {
-		t.Errorf("load %.1f at the neighbour, want about 8 of the 9 told", load)
+		t.Errorf("load %.1f at the peer, want about 8 of the 9 reported", load)
 	}
 	sendTo(t, sender, now, v, "b0", Done{Outcome: Good, FirstByte: time.Millisecond})
 	near, _ = sender.Changes(now)
 	neighbour.Report(now.Add(5*reportedLoadHalfLife), "h2", 1, near, true)
 	if load := row.load(now.Add(5 * reportedLoadHalfLife)); load > 1 {
-		t.Errorf("load %.1f later, though the server told nothing since", load)
+		t.Errorf("load %.1f later without another report of the server", load)
 	}
 }
--- a/internal/policy/unused.go
+++ b/internal/policy/unused.go
@@ -6,48 +6,48 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// outOfUse is the time without a request of this data centre after which a server is told of as
+// outOfUse is the time without a request from this data centre after which a server is reported as
 // out of use.
 const outOfUse = 2 * time.Second
 
-// WhyUnused is what speaks against requests to a server that gets none. Reports of the server's
-// own are named as availability.Reason names them.
+// WhyUnused is the reason why a server gets no requests. If the server itself reports that it takes
+// none, the name is that of its availability.Reason.
 type WhyUnused string
 
-// What speaks against requests, the first that holds.
+// Reasons, in order of precedence.
 const (
-	UnusedPath        WhyUnused = "path"         // this host cannot reach it
-	UnusedFailure     WhyUnused = "failure"      // a request failed there a moment ago
-	UnusedSilence     WhyUnused = "silence"      // requests wait there for longer than usual
-	UnusedBelief      WhyUnused = "belief"       // it is believed to fail
-	UnusedNoObjection WhyUnused = "no-objection" // nothing: other servers cost less, or there are too few requests
+	UnusedPath        WhyUnused = "path"         // this host cannot connect to it
+	UnusedFailure     WhyUnused = "failure"      // a request failed there recently
+	UnusedUnanswered  WhyUnused = "silence"      // requests have been waiting there for longer than usual
+	UnusedBelief      WhyUnused = "belief"       // it is believed to be failing
+	UnusedNoObjection WhyUnused = "no-objection" // none: other servers cost less, or there are too few requests
 )
 
-// UseChange is a server that has fallen out of use, or is in use again.
+// UseChange reports a server that went out of use, or is in use again.
 type UseChange struct {
 	Service string
 	Server  string
 	InUse   bool
-	// Idle is for how long no host of the data centre had sent it a request.
+	// Idle is how long no host of the data centre has sent the server a request.
 	Idle time.Duration
-	// Why, Belief, Troubled and Limited are set for one that has fallen out of use: the belief
-	// that it fails, and whether many requests of the service are unserved, or refused beyond
-	// their customers' limits.
+	// Why, Belief, Troubled and Limited are only set for a server that went out of use: the
+	// probability that it is failing, and whether many requests of the service are unserved or
+	// refused beyond their customers' limits.
 	Why      WhyUnused
 	Belief   float64
 	Troubled bool
 	Limited  bool
 }
 
-// usageWatch is what UseChanges has seen of a server.
+// usageWatch is the state of UseChanges for one server.
 type usageWatch struct {
-	since  time.Time // when it was first looked at
+	since  time.Time // when the server was first checked
 	unused bool
 }
 
-// UseChanges looks at the servers of req.DataCentre in this host's subset of a service, and
-// returns those that have fallen out of use or are in use again since it was last called. While
-// there are fewer requests than servers there are none: some must be out of use.
+// UseChanges checks the servers of req.DataCentre in this host's subset of a service, and returns
+// those that went out of use or are in use again since the last call. It returns none while there are
+// fewer requests than servers, because then some servers are necessarily out of use.
 func (t *Table) UseChanges(now time.Time, view *world.ServiceView, req Request) []UseChange {
 	svc, known := t.services[req.Service]
 	if !known || svc.recentRequests(now) < countLocalServers(view, req.DataCentre) {
@@ -76,12 +76,12 @@
 	return changes
 }
 
-// recentRequests counts those of this data centre that have ended of late.
+// recentRequests counts the requests of this data centre that ended within outcomeWindow.
 func (svc *service) recentRequests(now time.Time) int {
 	return svc.served.sum(now, outcomeWindow) + svc.unserved.sum(now, outcomeWindow) + svc.limited.sum(now, outcomeWindow)
 }
 
-// countLocalServers counts the servers of this data centre in a host's subset, 1 at the least.
+// countLocalServers counts the servers of a data centre in a host's subset, and returns at least 1.
 func countLocalServers(view *world.ServiceView, dataCentre string) int {
 	count := 0
 	for _, b := range view.Candidates() {
@@ -92,7 +92,7 @@
 	return max(count, 1)
 }
 
-// updateUsage notes whether the server is out of use, and reports whether that is new.
+// updateUsage records whether the server is out of use, and reports whether that has changed.
 func (s *server) updateUsage(now time.Time) bool {
 	if s.watch.since.IsZero() {
 		s.watch.since = now
@@ -103,7 +103,7 @@
 	return changed
 }
 
-// idle is for how long the server has had no request, as far as it was looked at.
+// idle is how long the server has been without a request since it was first checked.
 func (s *server) idle(now time.Time) time.Duration {
 	since := s.lastSent
 	if since.Before(s.watch.since) {
@@ -122,7 +122,7 @@
 	case now.Sub(s.failedAt) <= failureCooldown:
 		return UnusedFailure
 	case s.unansweredLogOdds(now, svc) > overdueLogOdds:
-		return UnusedSilence
+		return UnusedUnanswered
 	case s.belief(now, svc) >= failingThreshold:
 		return UnusedBelief
 	default:
--- a/internal/policy/unused_test.go
+++ b/internal/policy/unused_test.go
@@ -7,7 +7,7 @@
 	"github.com/pearshelf/pearshelf/internal/protocol"
 )
 
-// expectUseChange looks once and expects that just one server has changed.
+// expectUseChange calls UseChanges once and expects exactly one change.
 func expectUseChange(t *testing.T, table *Table, now time.Time, req Request, want UseChange) {
 	t.Helper()
 	req.Service, req.DataCentre = "s", "dc1"
@@ -30,19 +30,19 @@
 	}
 }
 
-// A server that gets no request for 2 s is told of once, with what speaks against it, and once
-// more when it gets one. The others go on being used.
+// A server that gets no request for 2 s is reported once, with the reason, and once more when it gets a
+// request again. The other servers stay in use.
 func TestServersOutOfUseAreReported(t *testing.T) {
 	good := Done{Outcome: Good, FirstByte: 100 * time.Millisecond}
 	cases := map[string]struct {
-		last Done // of the server that falls out of use
+		last Done // outcome on the server that goes out of use
 		said map[string]protocol.ServerState
 		why  WhyUnused
 	}{
-		"believed to fail":    {last: Done{Outcome: Failed}, why: UnusedBelief},
-		"nothing against it":  {last: good, why: UnusedNoObjection},
-		"asked for rest":      {last: good, said: map[string]protocol.ServerState{"b0": {Rest: time.Minute}}, why: "resting"},
-		"says that it leaves": {last: good, said: map[string]protocol.ServerState{"b0": {Leaving: true}}, why: "leaving"},
+		"believed to be failing":     {last: Done{Outcome: Failed}, why: UnusedBelief},
+		"no objection":               {last: good, why: UnusedNoObjection},
+		"asked for rest":             {last: good, said: map[string]protocol.ServerState{"b0": {Rest: time.Minute}}, why: "resting"},
+		"reports that it is leaving": {last: good, said: map[string]protocol.ServerState{"b0": {Leaving: true}}, why: "leaving"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -85,7 +85,7 @@
 	expectNoUseChange(t, table, now)
 }
 
-// A server that has never had a request is out of use from when it was first looked at.
+// For a server that has never had a request, the time out of use starts with the first check.
 func TestNewServerIsOutOfUseFromFirstCheck(t *testing.T) {
 	table, now := newTable()
 	v := view(3)
--- a/internal/policy/window_test.go
+++ b/internal/policy/window_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// The newest part of a window holds what came lately, and no older round of
-// its buckets.
+// The newest buckets of a window contain only recent events, and none of a previous cycle.
 func TestWindowNewestBuckets(t *testing.T) {
 	const length = 2 * time.Second
 	now := time.Now()
@@ -22,11 +21,11 @@
 		t.Errorf("%d in the newest half, want about 20", half)
 	}
 	if late := w.newest(end.Add(length), length, windowBuckets/2); late != 0 {
-		t.Errorf("%d left after a quiet time, want 0", late)
+		t.Errorf("%d left after a time without events, want 0", late)
 	}
 }
 
-// A service with many requests is in trouble as soon as the newest second shows it.
+// A service with many requests counts as degraded as soon as the last second shows it.
 func TestDegradationIsDetectedWithinASecond(t *testing.T) {
 	var svc service
 	now := time.Now()
@@ -35,7 +34,7 @@
 	}
 	now = now.Add(2 * time.Second)
 	if svc.isDegraded(now) {
-		t.Fatal("in trouble although all were served")
+		t.Fatal("degraded although all requests were served")
 	}
 	for i := range 120 { // 0.8 s in which one in ten is not
 		at := now.Add(time.Duration(i) * time.Second / 150)
@@ -46,6 +45,6 @@
 		}
 	}
 	if !svc.isDegraded(now.Add(800 * time.Millisecond)) {
-		t.Error("not in trouble although one in ten was unserved for 0.8 s")
+		t.Error("not degraded although one in ten requests was unserved for 0.8 s")
 	}
 }
