--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -6,40 +6,37 @@
 	"github.com/pearshelf/pearshelf/internal/errs"
 )
 
-// While more comes than the servers can carry, a queue of any length is full, and
-// all that is served is late: each request waits for work that is itself too late
-// to be worth much. The same number can be served in time if the queue is kept
-// short. A queue that is gone again soon is to be served: there nothing is gained
-// by turning requests away. What tells the two apart is whether the queue stands, as
-// in CoDel (Nichols and Jacobson, "Controlling Queue Delay", ACM Queue 2012): not
-// its length, but for how long answers have been late.
+// When requests arrive faster than servers can process them, a queue of any length fills up and
+// every answer is late: each request waits for work that is itself too late to be worth much. With
+// a short queue the same number of requests is served in time. A queue that soon drains should be
+// served, because refusing requests gains nothing there. As in CoDel (Nichols and Jacobson,
+// "Controlling Queue Delay", ACM Queue 2012), the two cases are told apart by whether there is a
+// standing queue: not by its length, but by how long answers have been late.
 const (
-	// standingLate is the chance of a late answer above which a request is refused
-	// while the queue stands. It is above even odds because a late answer is worth more
-	// than none.
+	// standingLate is the probability of a late answer above which a request is refused while
+	// there is a standing queue. It exceeds one half because a late answer is worth more than
+	// none.
 	standingLate = 0.7
-	// standingShare is the share of late answers in troubleWindow, in this data centre,
-	// from which on a queue stands, and standingLeast how many must have come. Refusing
-	// holds the share near this figure: below it, requests are admitted again. Lower
-	// refuses requests of short spikes too.
+	// standingShare is the share of late answers within outcomeWindow in this data centre above
+	// which the queue counts as standing, and standingMinAnswers the number of answers required
+	// to tell. Refusing requests keeps the share near this value, since requests are admitted
+	// again below it. A lower value also refuses requests during short spikes.
 	standingShare      = 0.5
 	standingMinAnswers = 10
-	// lowPriorityFactor is the part of standingShare and of standingLate from which on
-	// requests are refused that are less urgent than others of the service: they make
-	// room first.
+	// lowPriorityFactor scales standingShare and standingLate for requests of lower priority than
+	// others of the service, so that these are refused first.
 	lowPriorityFactor = 0.5
-	// priorityWindow is the time over which the work of requests is added up by their
-	// priority: a host has a few a second of a service. Less urgent requests make room
-	// where more than urgentShare of the work is more urgent; less needs no room made.
+	// priorityWindow is the period over which the work of requests is summed by priority; a host
+	// has a few requests a second of a service. Requests of lower priority are refused first if
+	// more than highPriorityShare of the work has a higher priority; for less there is no need.
 	priorityWindow    = 10 * time.Second
 	highPriorityShare = 0.2
-	// missedDeadlineThreshold is the chance of no answer in time at all, above which a request is
-	// refused at any time: it would only hold up others.
+	// missedDeadlineThreshold is the probability of missing the request's deadline above which a
+	// request is refused regardless of the queue: it would only delay others.
 	missedDeadlineThreshold = 0.9
 )
 
-// admit refuses a request that would be answered too late to be of use, by the
-// best server that there is for it.
+// admit refuses a request that even the best server would answer too late to be of use.
 func (t *Table) admit(now time.Time, svc *service, best choice, req Request) error {
 	if !t.has(MechanismStanding) || req.Deadline.IsZero() {
 		return nil
@@ -54,7 +51,7 @@
 		return nil
 	}
 	if t.routeIfKnown(now, req.Group) != nil && svc.mustYield(now, req, estimate) {
-		return errs.New(errs.KindQueueFull, "the queue of "+req.Service+" is as long as requests with less time can wait", "repeat the request after the time in Retry-After; add capacity")
+		return errs.New(errs.KindQueueFull, "the queue of "+req.Service+" is already as long as requests with shorter deadlines can wait", "repeat the request after the time in Retry-After; add capacity")
 	}
 	strictness := 1.0
 	if svc.hasHigherPriorityWork(now, req.Priority) {
@@ -62,13 +59,13 @@
 	}
 	late := svc.latencies.probabilityAfter(req.objectiveLeft(now), expected)
 	if svc.lateShare(now) > strictness*standingShare && late > strictness*standingLate {
-		return errs.New(errs.KindQueueFull, "the queue of "+req.Service+" stands: the answer would be late", "repeat the request after the time in Retry-After")
+		return errs.New(errs.KindQueueFull, "the queue of "+req.Service+" is not draining: the answer would be late", "repeat the request after the time in Retry-After")
 	}
 	return nil
 }
 
-// lateShare is the share of late ones among the newest answers of this data centre,
-// 0 where there are too few to tell.
+// lateShare is the share of late answers among the recent answers of this data centre, 0 if there
+// are too few answers.
 func (svc *service) lateShare(now time.Time) float64 {
 	late := svc.late.sum(now, outcomeWindow)
 	served := svc.served.sum(now, outcomeWindow)
@@ -78,8 +75,8 @@
 	return float64(late) / float64(served)
 }
 
-// recordPriority adds a request's usual work to that of its rank. What a route takes is
-// known only after some answers; until then its requests do not count.
+// recordPriority adds the typical work of a request to that of its priority. Requests of a route
+// are not counted until some answers have shown how long the route takes.
 func (t *Table) recordPriority(now time.Time, svc *service, req Request) {
 	r := t.routeIfKnown(now, req.Group)
 	if r == nil {
@@ -93,7 +90,8 @@
 	w.add(now, priorityWindow, int(r.typicalLatency.Milliseconds()))
 }
 
-// hasHigherPriorityWork reports whether much of the newest work is of a higher rank.
+// hasHigherPriorityWork reports whether a considerable share of the recent work has a higher
+// priority.
 func (svc *service) hasHigherPriorityWork(now time.Time, priority int) bool {
 	urgent, all := 0, 0
 	for other, w := range svc.priorities {
--- a/internal/policy/breadth.go
+++ b/internal/policy/breadth.go
@@ -6,82 +6,85 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// A service must not narrow itself to a few servers, because what was learnt of
-// the others grows old: if the few then fail, nothing is known of the rest.
+// A service must not concentrate its requests on a few servers: observations of the others become
+// outdated, and if the few fail, nothing is known about the rest.
 const (
-	// failureCooldown is how long after a failure a server need not be used.
+	// failureCooldown is how long after a failure a server need not be kept in use.
 	failureCooldown = 2 * time.Second
-	// inUsePeriod is how long a server counts as used after a request: no server is to be
-	// out of use for 2 s.
+	// inUsePeriod is how long a server counts as in use after a request. It is a little less than
+	// the 2 s that a server may be out of use at most.
 	inUsePeriod = 1800 * time.Millisecond
-	// failingThreshold is the belief above which a server counts as failing, and need not be used
-	// in calm times. Higher finds servers that have recovered sooner, by requests that
-	// fail where they have not. Lower loses fewer, and leaves fewer servers in use when
-	// trouble comes.
+	// failingThreshold is the belief above which a server counts as failing and need not be kept
+	// in use in normal operation. A higher value detects recovered servers sooner, at the cost of
+	// requests that fail on those that have not recovered. A lower value loses fewer requests, but
+	// leaves fewer servers in use when a service becomes degraded.
 	failingThreshold = 0.5
-	// coverageShare is the part of the servers without a recent failure that
-	// must be in use: more than the 0.7 that is asked for over all data centres.
+	// coverageShare is the share of the servers without a recent failure that must be in use. It
+	// exceeds the 0.7 that is required over all data centres.
 	coverageShare = 0.8
-	// idempotentCoverageShare is that part for idempotent requests, of all servers
-	// without a recent failure, also those believed to fail: a request that fails
-	// there is sent again, and what it finds guides the non-idempotent ones.
+	// idempotentCoverageShare is the same share for idempotent requests. It counts all servers
+	// without a recent failure, including those believed to be failing: a request that fails there
+	// is retried, and its outcome guides the non-idempotent requests.
 	idempotentCoverageShare = 0.95
-	// coverageAllowance is the part of the retry allowance that may be spent
-	// while idempotent requests try such servers.
+	// coverageAllowance is the share of the retry allowance up to which idempotent requests are
+	// sent to such servers.
 	coverageAllowance = 0.5
-	// outcomeWindow is the time over which outcomes are counted, troubleShare the part
-	// of unserved requests from which on all servers are tried, also such as are believed
-	// to fail: then what is known of them helps little. It is half of a tenth over all
-	// data centres, of which this one may have less. troubleChance more may fail by chance.
+	// outcomeWindow is the period over which outcomes are counted. If more than degradedShare of
+	// the requests are unserved the service counts as degraded, and servers believed to be failing
+	// are tried too, since the belief is of little help then. The share is half of the tenth that
+	// applies over all data centres, because this one may have less than the others.
+	// degradedMargin is the number of further unserved requests that may occur by chance.
 	outcomeWindow  = 2 * time.Second
 	degradedShare  = 0.05
 	degradedMargin = 3
-	// degradedMinOutcomes is how many outcomes must be known.
+	// degradedMinOutcomes is the number of outcomes required to tell.
 	degradedMinOutcomes = 20
-	// degradedCoverageShare is the part of the servers that must be in use in such a time.
+	// degradedCoverageShare is the share of the servers that must be in use while the service is
+	// degraded.
 	degradedCoverageShare = 0.95
-	// degradedFailureCooldown is recentFailure in such a time.
+	// degradedFailureCooldown replaces failureCooldown while the service is degraded.
 	degradedFailureCooldown = time.Second
-	// heavilyLimitedShare is the part of a service's requests that are refused beyond their
-	// customers' limits from which on servers that are believed to fail are used too: such
-	// requests count as unserved. Then no server may be out of use for long, whatever is
-	// known of it: nothing is seen of a server that is not used.
+	// heavilyLimitedShare is the share of a service's requests refused beyond their customers'
+	// limits above which servers believed to be failing are used too, because such requests count
+	// as unserved. No server may then be out of use for long, whatever is known about it: nothing
+	// can be observed about a server that is not used.
 	heavilyLimitedShare = 0.06
-	// unusedServerBonus outweighs any belief in a spell, and no blocked path.
+	// unusedServerBonus outweighs any failure belief, but not blockedPathCost.
 	unusedServerBonus = 2.0
-	// normalRequestShare is the most of a service's requests that may go to servers for the only
-	// reason that they are out of use, in calm times. Each of them risks a spell; more than
-	// that costs more than what is learnt of these servers is worth.
+	// normalRequestShare limits the share of a service's requests that are sent to servers only
+	// because these are out of use, in normal operation. Each of them risks a failing server;
+	// beyond this share the cost exceeds the value of what is learned about these servers.
 	normalRequestShare = 0.3
-	// untriedRequestShare of the requests that run once may go to servers that have just joined because
-	// these had none yet; requests that may be repeated go there at once. Many servers may join at
-	// a time, and some of them in a spell.
+	// untriedRequestShare is the share of non-repeatable requests that may be the first request of
+	// a server that has just joined; repeatable requests are sent there at once. Many servers may
+	// join at the same time, and some of them may be failing.
 	untriedRequestShare = 0.25
-	// degradedRequestShare: where too many requests are unserved all of them may. Where even that would
-	// not bring enough servers into use, breadth is of no help.
+	// degradedRequestShare replaces normalRequestShare while the service is degraded: all requests
+	// may be spent. If even that is not enough to bring the required servers into use, coverage
+	// cannot help.
 	degradedRequestShare = 1.0
 )
 
-// coverage is the need for more servers in use.
+// coverage describes which servers must be kept in use, and whether too few are.
 type coverage struct {
 	insufficient bool // too few of this data centre's servers are in use
-	// includeFailing is set where servers that are believed to fail must be tried too.
+	// includeFailing is set if servers believed to be failing must be used too.
 	includeFailing bool
-	// includeAll is set where all must be used, whatever is known of them.
+	// includeAll is set if all servers must be used, whatever is known about them.
 	includeAll bool
-	// cooldown a failure for which time a server need not be used.
+	// cooldown is how long after a failure a server need not be used.
 	cooldown time.Duration
-	// serverShare of the servers must be in use, and at most effort of the requests may be spent on
-	// it.
+	// serverShare is the share of the servers that must be in use, and maxRequestShare the
+	// largest share of the requests that may be spent to achieve that.
 	serverShare     float64
 	maxRequestShare float64
-	// tryUntried is set where a server that has joined may have this request as its first.
+	// tryUntried is set if this request may be the first one of a server that has joined.
 	tryUntried bool
 }
 
-// coverage looks at this data centre's servers in the subset: each server is in the
-// subsets of hosts that look after it. spent is the part of the retry
-// allowance that is spent.
+// coverage counts the servers of this data centre in the subset that are in use. Every server is
+// in the subsets of some hosts, which keep it in use. spent is the share of the retry allowance
+// that is spent.
 func (t *Table) coverage(now time.Time, view *world.ServiceView, req Request, spent float64) coverage {
 	need := t.coverageRule(now, req, spent)
 	need.tryUntried = req.Idempotent && !req.Last || t.conf.Random.Float64() < untriedRequestShare
@@ -109,7 +112,7 @@
 	return need
 }
 
-// coverageRule returns which servers must be in use, and what part of them.
+// coverageRule returns which servers must be in use, and what share of them.
 func (t *Table) coverageRule(now time.Time, req Request, spent float64) coverage {
 	switch {
 	case t.has(MechanismTrouble) && t.service(req.Service).isDegraded(now):
@@ -125,26 +128,26 @@
 	}
 }
 
-// requestShareFor is the part of the service's requests that it takes to keep a number of servers in
-// use, if each is sent one each unusedFor; over 1 if there are too few requests.
+// requestShareFor is the share of the service's requests needed to keep a number of servers in use,
+// at one request each per inUsePeriod. It exceeds 1 if there are too few requests.
 func (svc *service) requestShareFor(now time.Time, servers float64) float64 {
 	sends := float64(svc.sends.sum(now, outcomeWindow))
 	return servers * float64(outcomeWindow) / float64(inUsePeriod) / max(sends, 1)
 }
 
-// mayHaveTrials reports whether doubted servers are tried by copies of such a request, so that
-// its first send need not go there.
+// mayHaveTrials reports whether copies of the request are used to try servers believed to be
+// failing, so that its first send need not go there.
 func (t *Table) mayHaveTrials(req Request) bool {
 	return req.Idempotent && !req.Last && t.has(MechanismTrials)
 }
 
-// isDegraded reports whether many requests of this data centre are unserved, over
-// the whole window or, where there are many requests, already over a half.
+// isDegraded reports whether many requests of this data centre are unserved, over the whole window
+// or, if there are many requests, already over half of it.
 func (svc *service) isDegraded(now time.Time) bool {
 	return svc.hasManyUnserved(now, windowBuckets+1) || svc.hasManyUnserved(now, windowBuckets/2)
 }
 
-// hasManyUnserved looks at the newest buckets of the window.
+// hasManyUnserved reports whether many requests were unserved in the newest buckets of the window.
 func (svc *service) hasManyUnserved(now time.Time, buckets int) bool {
 	served := svc.served.newest(now, outcomeWindow, buckets)
 	unserved := svc.unserved.newest(now, outcomeWindow, buckets)
@@ -152,16 +155,15 @@
 	return total >= degradedMinOutcomes && float64(unserved) > degradedShare*float64(total)+degradedMargin
 }
 
-// isHeavilyLimited reports whether many requests of this data centre are beyond their customers'
-// limits.
+// isHeavilyLimited reports whether many requests of this data centre are refused beyond their
+// customers' limits.
 func (svc *service) isHeavilyLimited(now time.Time) bool {
 	limited := svc.limited.sum(now, outcomeWindow)
 	total := limited + svc.served.sum(now, outcomeWindow) + svc.unserved.sum(now, outcomeWindow)
 	return total >= degradedMinOutcomes && float64(limited) > heavilyLimitedShare*float64(total)
 }
 
-// NoteLimited counts a request of a service that this host refused beyond its customer's
-// limit.
+// NoteLimited counts a request that this host refused because it exceeds its customer's limit.
 func (t *Table) NoteLimited(now time.Time, name string) {
 	svc := t.service(name)
 	svc.limited.add(now, outcomeWindow, 1)
@@ -169,7 +171,7 @@
 	svc.dirty = true
 }
 
-// recordOutcome counts an outcome of this host's own.
+// recordOutcome counts an outcome of a request of this host.
 func (svc *service) recordOutcome(now time.Time, done Done) {
 	switch done.Outcome {
 	case Good:
@@ -182,7 +184,7 @@
 	}
 }
 
-// shouldBeUsed reports whether nothing recent speaks against a server.
+// shouldBeUsed reports whether no recent observation speaks against using a server.
 func (s *server) shouldBeUsed(now time.Time, svc *service, need coverage) bool {
 	if now.Before(s.pathUntil) {
 		return false
@@ -199,37 +201,37 @@
 	return s.belief(now, svc) < failingThreshold
 }
 
-// serverUse is a use of a server, and when it had been used before.
+// serverUse is the time of a send to a server and that of the previous one.
 type serverUse struct{ at, before time.Time }
 
-// recordSends counts requests at the servers of this host's subset, by it and by the hosts that tell
-// it of theirs.
+// recordSends counts requests to the servers of this host's subset, sent by this host or by the
+// hosts that report to it.
 func (svc *service) recordSends(now time.Time, n uint64) {
 	svc.sends.add(now, outcomeWindow, int(n))
 }
 
-// isUntried reports whether a server has joined and had no request yet. Where there are fewer
-// requests than servers it would wait for long: known servers cost less.
+// isUntried reports whether a server has joined and not received a request yet. If there are fewer
+// requests than servers it would wait for its first request for long, since known servers cost less.
 func (s *server) isUntried() bool { return s.joined && s.lastSent.IsZero() }
 
-// recordUse counts a send to a server as a use of it.
+// recordUse records that the server is sent a request.
 func (s *server) recordUse(now time.Time) serverUse {
 	u := serverUse{at: now, before: s.lastSent}
 	s.lastSent = now
 	return u
 }
 
-// undoUse undoes a use whose request did not reach the server, unless there was another since:
-// else a server to which kept connections break, or that some hosts cannot reach, is out of use
-// although it counts as used.
+// undoUse reverts a use whose request did not reach the server, unless there was another one since.
+// Otherwise a server whose kept connections break, or that some hosts cannot connect to, would
+// count as in use although it receives no requests.
 func (s *server) undoUse(u serverUse) {
 	if s.lastSent.Equal(u.at) {
 		s.lastSent = u.before
 	}
 }
 
-// coverageBonus is what a request gains by going to a server that has had none
-// for long, where too few servers are in use.
+// coverageBonus is the cost reduction for a server that has had no request for some time, if too
+// few servers are in use.
 func (s *server) coverageBonus(now time.Time, svc *service, need coverage) float64 {
 	if need.tryUntried && s.isUntried() && !now.Before(s.pathUntil) {
 		return unusedServerBonus
--- a/internal/policy/connections.go
+++ b/internal/policy/connections.go
@@ -2,21 +2,19 @@
 
 import "time"
 
-// Servers may forget idle connections without a word, and sooner than they
-// announce. Whatever is sent next on such a connection is lost, and nobody can
-// say whether it ran. One loss tells the hosts of the data centre; requests that
-// must not run twice then use only connections that were just in use.
+// Servers may drop idle connections without notice, and earlier than they announce. The next request
+// on such a connection is lost, and it is unknown whether it was executed. After one such loss the
+// hosts of the data centre send non-idempotent requests only on connections that were recently used.
 const (
-	// staleConnectionPeriod is how long after a loss that holds. A server that forgets does so
-	// for some seconds; new connections cost little.
+	// staleConnectionPeriod is how long after a loss this restriction applies. A server drops
+	// connections for some seconds, and new connections are cheap.
 	staleConnectionPeriod = 15 * time.Second
-	// staleMaxIdle is for how long a connection may then have been idle. Shorter
-	// than any idle timeout seen (1 s and more).
+	// staleMaxIdle is the maximum idle time of a connection in that period. It is below all idle
+	// timeouts observed (1 s and more).
 	staleMaxIdle = 200 * time.Millisecond
 )
 
-// maxIdle is for how long a connection may have been idle that carries a
-// request, 0 for no bound.
+// maxIdle returns how long the connection for a request may have been idle, 0 for no limit.
 func (t *Table) maxIdle(now time.Time, svc *service, req Request) time.Duration {
 	if !t.has(MechanismIdleConnections) || req.Idempotent || svc.staleConnectionAt.IsZero() || now.Sub(svc.staleConnectionAt) > staleConnectionPeriod {
 		return 0
--- a/internal/policy/counts.go
+++ b/internal/policy/counts.go
@@ -4,15 +4,15 @@
 	"github.com/pearshelf/pearshelf/internal/api/peerpb"
 )
 
-// counts only grow in one life of a host.
+// counts are cumulative; they only increase during one incarnation of a host.
 type counts struct {
 	good, failed, unreachable, shed uint64
 	lateErrors, staleConnections    uint64
 	requests, retries               uint64
-	late                            uint64 // of good, after the objective
-	limited                         uint64 // refused here, beyond their customers' limits
-	goodSlowness                    uint64 // of good answers, in millionths
-	silentMillinats                 uint64 // evidence of requests given up, in thousandths of log odds
+	late                            uint64 // part of good, answered after the objective
+	limited                         uint64 // refused by this host beyond their customers' limits
+	goodSlowness                    uint64 // sum over good answers, in millionths
+	silentMillinats                 uint64 // evidence of abandoned requests, in thousandths of log odds
 }
 
 // add counts one outcome.
@@ -54,18 +54,19 @@
 	}
 }
 
-// isOlderThan reports whether any count is lower, as in an older report.
+// isOlderThan reports whether any count is lower than in d, as in a report that arrived out of order.
 func (c counts) isOlderThan(d counts) bool {
 	return c.good < d.good || c.failed < d.failed || c.unreachable < d.unreachable ||
 		c.shed < d.shed || c.lateErrors < d.lateErrors ||
 		c.staleConnections < d.staleConnections || c.requests < d.requests || c.retries < d.retries
 }
 
-// unserved counts the requests that brought their callers no good answer.
+// unserved is the number of requests that did not yield a good answer.
 func (c counts) unserved() uint64 { return c.failed + c.lateErrors + c.staleConnections + c.shed }
 
-// withoutNewest is all but the newest outcome: of what a host first tells of a server,
-// only that is news. A failure comes first, because it is what is told to all.
+// withoutNewest returns the counts without the newest outcome. In the first report that a host sends
+// about a server only that outcome is current. It is taken to be a failure if there was one, because
+// failures are what is sent to all hosts.
 func (c counts) withoutNewest() counts {
 	switch {
 	case c.failed > 0:
@@ -76,7 +77,7 @@
 	return c
 }
 
-// message is a report. One without a server holds the totals of a service.
+// message encodes the counts. A message without a server holds the totals of a service.
 func (c counts) message(k key) *peerpb.BackendLoad {
 	return &peerpb.BackendLoad{
 		Service:          k.service,
--- a/internal/policy/mechanisms.go
+++ b/internal/policy/mechanisms.go
@@ -2,49 +2,49 @@
 
 import "slices"
 
-// Mechanism is a part of the policy that can be left out, to measure what it is
-// worth: in a replay by --without, on a host by the setting `policy.without`.
+// Mechanism is a part of the policy that can be disabled to measure its benefit: in a replay with
+// --without, on a host with the setting `policy.without`.
 type Mechanism string
 
-// Mechanisms.
+// Mechanisms that can be disabled.
 const (
-	// MechanismSpells is the belief that a server fails, from outcomes.
+	// MechanismSpells estimates from outcomes whether a server is failing, see spell.go.
 	MechanismSpells Mechanism = "spells"
-	// MechanismUnanswered is evidence from requests that wait, silence.go.
+	// MechanismUnanswered uses unanswered requests as evidence, see silence.go.
 	MechanismUnanswered Mechanism = "silence"
-	// MechanismCopies are second copies of idempotent requests, copies.go.
+	// MechanismCopies sends second copies of idempotent requests, see copies.go.
 	MechanismCopies Mechanism = "copies"
-	// MechanismOutcomes is what other hosts tell of outcomes.
+	// MechanismOutcomes uses the outcomes that other hosts report.
 	MechanismOutcomes Mechanism = "shared-outcomes"
-	// MechanismLoads is what other hosts tell of their requests in flight.
+	// MechanismLoads uses the in-flight requests that other hosts report.
 	MechanismLoads Mechanism = "shared-loads"
-	// MechanismReportedLoad is the load that servers tell.
+	// MechanismReportedLoad uses the load that servers report.
 	MechanismReportedLoad Mechanism = "told-load"
-	// MechanismBreadth keeps servers in use, breadth.go.
+	// MechanismBreadth keeps servers in use, see breadth.go.
 	MechanismBreadth Mechanism = "breadth"
 	// MechanismTrouble uses nearly all servers while many requests are unserved.
 	MechanismTrouble Mechanism = "trouble"
-	// MechanismOwnDataCentre prefers servers of the own data centre.
+	// MechanismOwnDataCentre prefers servers of the host's own data centre.
 	MechanismOwnDataCentre Mechanism = "own-data-centre"
-	// MechanismColdStart expects new servers to be slow.
+	// MechanismColdStart expects newly started servers to be slow.
 	MechanismColdStart Mechanism = "cold-start"
-	// MechanismIdleConnections is connections.go.
+	// MechanismIdleConnections avoids idle connections after one broke, see connections.go.
 	MechanismIdleConnections Mechanism = "idle-connections"
-	// MechanismRouteLatency are usual times by route, routes.go.
+	// MechanismRouteLatency tracks typical latencies by route, see routes.go.
 	MechanismRouteLatency Mechanism = "route-times"
-	// MechanismNewHosts bounds what a host that has just started sends again.
+	// MechanismNewHosts limits the retries of a host that has just started.
 	MechanismNewHosts Mechanism = "young-hosts"
-	// MechanismTrials are copies of idempotent requests to servers believed to fail,
+	// MechanismTrials sends copies of idempotent requests to servers believed to be failing, see
 	// trial.go.
 	MechanismTrials Mechanism = "trials"
-	// MechanismReturnOneByOne sends a server that has rested one request at a time,
+	// MechanismReturnOneByOne sends a server that has rested one request at a time, see
 	// availability.go.
 	MechanismReturnOneByOne Mechanism = "return-one-by-one"
-	// MechanismStanding refuses requests while a queue stands, admission.go.
+	// MechanismStanding refuses requests while there is a standing queue, see admission.go.
 	MechanismStanding Mechanism = "standing-queue"
 )
 
-// Mechanisms lists all that can be left out.
+// Mechanisms lists all mechanisms that can be disabled.
 func Mechanisms() []Mechanism {
 	return []Mechanism{
 		MechanismSpells, MechanismUnanswered, MechanismCopies, MechanismOutcomes, MechanismLoads,
@@ -54,5 +54,5 @@
 	}
 }
 
-// has reports whether a mechanism is in use.
+// has reports whether a mechanism is enabled.
 func (t *Table) has(m Mechanism) bool { return !slices.Contains(t.conf.Without, m) }
--- a/internal/policy/patience.go
+++ b/internal/policy/patience.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// Routes of one service may have very different times to answer. A queue that suits the route with
-// the longest is longer than the whole time of the one with the shortest, whose requests then all
-// run out of time in it. So while requests with little time come, those with much more of it do
-// not lengthen the queue beyond what the others can wait.
+// Routes of one service may have very different deadlines. A queue that is acceptable for the route with
+// the longest deadline may exceed that of the route with the shortest one, whose requests then all time
+// out in the queue. While requests with short deadlines arrive, those with considerably more time are
+// therefore not allowed to extend the queue beyond what the others can wait.
 
 const (
-	// deadlineTTL is for how long a route's time counts after its last request.
+	// deadlineTTL is how long the allowed time of a route is considered after its last request.
 	deadlineTTL = 5 * time.Second
-	// yieldRatio times the shortest time of the service's routes is what a request must have to make
-	// room.
+	// yieldRatio is the multiple of the shortest allowed time from which on a request yields to
+	// those with shorter deadlines.
 	yieldRatio = 1.5
-	// maxQueueShare of the shortest time may pass in the queue; the rest is for the work and for
-	// servers that are slower than expected.
+	// maxQueueShare is the share of the shortest allowed time that may be spent in the queue; the
+	// rest is for the work itself and for servers that are slower than expected.
 	maxQueueShare = 0.4
 )
 
-// routeDeadline is the most time that a route's requests had of late when they came, and when the last
-// one came. Callers that return have less left than the route allows.
+// routeDeadline is the longest time allowed to a route's recent requests on arrival, and the time of
+// the last one. The maximum is used because callers that retry have less time left than the route
+// allows.
 type routeDeadline struct {
 	allowed time.Duration
 	at      time.Time
 }
 
-// recordDeadline keeps how much time the requests of a route have.
+// recordDeadline records how much time a request of a route is allowed.
 func (svc *service) recordDeadline(now time.Time, req Request) {
 	if !req.First {
 		return
@@ -37,8 +38,7 @@
 	svc.deadlines[req.Group] = routeDeadline{allowed: allowed, at: now}
 }
 
-// shortestDeadline is the least time that requests of a route have which comes now, 0 if there is
-// none.
+// shortestDeadline is the shortest time allowed to requests of a route in use, 0 if there is none.
 func (svc *service) shortestDeadline(now time.Time) time.Duration {
 	shortest := time.Duration(0)
 	for group, p := range svc.deadlines {
@@ -52,8 +52,8 @@
 	return shortest
 }
 
-// mustYield reports whether a request must not lengthen the queue, which it could wait in but others
-// could not.
+// mustYield reports whether a request must not extend the queue: it has the time to wait in it, but
+// requests with shorter deadlines have not.
 func (svc *service) mustYield(now time.Time, req Request, e estimate) bool {
 	shortest := svc.shortestDeadline(now)
 	if float64(req.Deadline.Sub(req.Asked)) < yieldRatio*float64(shortest) {
--- a/internal/policy/pick.go
+++ b/internal/policy/pick.go
@@ -10,21 +10,21 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// CostRule says what a choice costs. The unit is one request lost.
+// CostRule sets the costs that servers are compared by. The unit is the cost of one lost request.
 type CostRule struct {
-	// Failure is the cost of a failed request: one that is not idempotent is
-	// lost, one that is idempotent is repeated elsewhere.
+	// Failure is the cost of a failed request that is not idempotent and therefore lost,
+	// IdempotentFailure that of one that is idempotent and retried on another server.
 	Failure           float64
 	IdempotentFailure float64
 	// Late is the cost of an answer after the latency objective.
 	Late float64
-	// OtherDataCentre is the cost of a request to another data centre, and
-	// PerMegabyte of each megabyte of its answer.
+	// OtherDataCentre is the cost of sending a request to another data centre, and PerMegabyte
+	// that of each megabyte of its answer.
 	OtherDataCentre float64
 	PerMegabyte     float64
 }
 
-// DefaultCostRule returns the costs that hosts go by.
+// DefaultCostRule returns the costs that hosts use by default.
 func DefaultCostRule() CostRule {
 	return CostRule{
 		Failure:           1,
@@ -38,104 +38,105 @@
 const (
 	// defaultObjective is the latency objective of a route that has none.
 	defaultObjective = time.Second
-	// lateMidpoint and lateWidth shape the chance that an answer is late: even odds
-	// where the expected time is lateMidpoint of the objective.
+	// lateMidpoint and lateWidth are the parameters of the logistic function that estimates the
+	// probability of a late answer: it is one half where the expected latency is lateMidpoint of
+	// the objective.
 	lateMidpoint = 0.9
 	lateWidth    = 0.15
-	// slowAnswerCost is the cost of an answer that takes the whole objective and is
-	// not late, growing with the square.
+	// slowAnswerCost is the cost of an answer that takes exactly the objective and is not late; it
+	// grows with the square of the latency.
 	slowAnswerCost = 0.15
-	// loadSpreadCost is the cost of a full server against an empty one, so that load is
-	// even where nothing else differs.
+	// loadSpreadCost is the cost of a server with all slots in use relative to an idle one, so
+	// that load is balanced where nothing else differs.
 	loadSpreadCost = 0.03
-	// jitterCost keeps hosts with equal views from choosing alike.
+	// jitterCost scales a random cost that keeps hosts with equal views from selecting the same
+	// server.
 	jitterCost = 0.02
 	// zeroWeightCost is the cost of a server of weight 0.
 	zeroWeightCost = 0.3
-	// maxRequestsPerSlot times its slots is how many requests a server may have before
-	// it is held for full. Servers queue a few requests themselves.
+	// maxRequestsPerSlot is how many requests per slot a server may have before it is considered
+	// full. Servers queue a few requests themselves.
 	maxRequestsPerSlot = 4
-	// coldSlowdown is how much slower a server is just after its start.
+	// coldSlowdown is the factor by which a newly started server is expected to be slower.
 	coldSlowdown = 2.0
-	// overflowThreshold is the cost of the best server of the subset, in requests lost, above
-	// which the others are compared too. A server of which nothing is known costs about
-	// as much, for the chance that it is in a spell.
+	// overflowThreshold is the cost of the best server of the subset above which servers outside
+	// the subset are compared too. A server without any observation costs about as much, because
+	// it may be failing.
 	overflowThreshold = 0.35
-	// overflowSample bounds the servers outside the subset that one pick compares: a pick
-	// must not cost more where a service has thousands of servers.
+	// overflowSample limits how many servers outside the subset one pick compares, so that the
+	// cost of a pick stays bounded for services with thousands of servers.
 	overflowSample = 128
-	// rateLimitedCost is the cost of a server that names a rate limit: others are asked first
-	// while they serve.
+	// rateLimitedCost is the cost of a server that announces a rate limit: other servers are
+	// preferred while they serve requests.
 	rateLimitedCost = 0.1
-	// blockedPathCost is the cost of a server that this host cannot reach now.
+	// blockedPathCost is the cost of a server that this host currently cannot connect to.
 	blockedPathCost = 1000.0
 
 	bytesPerMegabyte = 1 << 20
 )
 
-// Request is what a choice needs to know of a request.
+// Request holds the properties of a request that a pick depends on.
 type Request struct {
 	Service    string
 	Idempotent bool
-	// DataCentre is this host's.
+	// DataCentre is the data centre of this host.
 	DataCentre string
 	// Objective is the latency objective, 0 for none.
 	Objective time.Duration
-	// First is set at the first pick for a request, Repeat once a server has had
-	// it. Neither is set after a server that could not be reached.
+	// First is set for the first pick for a request, Repeat once a server has received the
+	// request. Neither is set for a pick after a failed connection.
 	First  bool
 	Repeat bool
-	// Last is set where no other server may have the request after this one.
+	// Last is set if the request may not be sent to another server after this one.
 	Last bool
-	// Fleet is what the retry allowance is divided by.
+	// Fleet determines this host's part of the retry allowance.
 	Fleet Fleet
-	// Group names requests with answers of about one size, such as a route.
+	// Group identifies requests with similar work and answers of similar size, such as a route.
 	Group string
-	// Priority is the rank in overload, 0 the highest.
+	// Priority is the priority under overload, 0 is the highest.
 	Priority int
-	// Exclude are servers already tried.
+	// Exclude lists the IDs of the servers already tried.
 	Exclude []string
-	// Availability is what servers say of themselves. Those that take no requests are left
-	// out of everything: the need for more servers in use does not bring them back.
+	// Availability is what the servers report about themselves. A server that reports that it
+	// takes no requests is never selected, not even to keep more servers in use.
 	Availability availability.Moment
-	// RateLimits is what servers take from all hosts together, of those that name it.
+	// RateLimits holds the rate limits that servers announce for all hosts together.
 	RateLimits *ratelimit.View
-	// Beside is set for a send beside another one that is under way, whose server is believed
-	// to fail by FirstBelief.
+	// Beside is set for a send in parallel to one that is in progress; FirstBelief is the failure
+	// belief of the server that has that first send.
 	Beside      bool
 	FirstBelief float64
-	// Asked is when the request came to this host, and Deadline when its caller
-	// gives up.
+	// Asked is when this host received the request, Deadline when the caller stops waiting.
 	Asked    time.Time
 	Deadline time.Time
 }
 
-// Placement is a request's place at a server until Finish.
+// Placement is a request's reservation on a server, from Pick until Finish.
 type Placement struct {
-	// Server is where to send.
+	// Server is the server to send the request to.
 	Server world.BackendView
-	// Belief that the server is failing, and Load, its requests, decided the
-	// pick, among others.
+	// Belief is the probability that the server is failing and Load its number of requests, as
+	// used by the pick.
 	Belief float64
 	Load   float64
-	// MaxIdle is for how long a connection may have been idle that carries the
-	// request, 0 for no bound.
+	// MaxIdle limits how long the connection that carries the request may have been idle, 0 for
+	// no limit.
 	MaxIdle time.Duration
-	// TrialFor is for how long the answer of a trial is waited for, also when its caller
-	// has been answered by another server; 0 for no trial.
+	// TrialFor is how long to wait for the answer of a trial, even if another server has already
+	// answered the caller; 0 if this is no trial.
 	TrialFor time.Duration
 
 	key     key
-	process int // of the server, see server
+	process int // the server.process that was picked
 	group   string
 	pending *pending
-	// objectiveAt is when the request's latency objective is over.
+	// objectiveAt is when the latency objective of the request expires.
 	objectiveAt time.Time
-	use         serverUse // of the server by this request
+	use         serverUse // recorded for this request
 }
 
-// Pick returns the server that costs least, or a typed error if all are full
-// or none may be used.
+// Pick reserves the server with the lowest cost. It returns a typed error if all servers are full,
+// if none may be used, or if the request is not admitted.
 func (t *Table) Pick(now time.Time, view *world.ServiceView, req Request) (*Placement, error) {
 	best := t.choose(now, view, req)
 	svc := t.service(req.Service)
@@ -149,8 +150,8 @@
 	return t.place(now, svc, best, req), nil
 }
 
-// choice is the server that costs least, nil if there is none, and how many
-// might have had the request.
+// choice is the server with the lowest cost, nil if there is none, and the number of servers that
+// were allowed to receive the request.
 type choice struct {
 	server   *world.BackendView
 	state    *server
@@ -158,12 +159,12 @@
 	eligible int
 }
 
-// choose compares the servers that may have a request: those of this host's subset,
-// and all others besides where none of the subset is likely to serve it.
+// choose compares the servers of this host's subset, and servers outside it if none of the subset
+// is likely to serve the request.
 func (t *Table) choose(now time.Time, view *world.ServiceView, req Request) choice {
 	best := choice{cost: math.Inf(1)}
 	svc := t.service(req.Service)
-	var spent float64 // part of the retry allowance; matters to idempotent requests only
+	var spent float64 // share of the retry allowance; only relevant to idempotent requests
 	if req.Idempotent {
 		spent = t.spentAllowance(now, req.Service, req.Fleet)
 	}
@@ -181,8 +182,9 @@
 	return best
 }
 
-// overflow compares servers of the whole service: where they are many some from a random one on,
-// and all of them only if none of these may have the request.
+// overflow compares servers of the whole service. If there are many it compares a sample that
+// starts at a random position, and falls back to all servers only if none of the sample may receive
+// the request.
 func (t *Table) overflow(in comparison, servers []world.BackendView, best *choice) {
 	if len(servers) > overflowSample {
 		first := t.conf.Random.IntN(len(servers))
@@ -197,16 +199,16 @@
 	t.compare(in, servers, best)
 }
 
-// comparison is what servers are compared by.
+// comparison holds the inputs that are common to all servers compared by one pick.
 type comparison struct {
 	now     time.Time
 	svc     *service
 	req     Request
 	need    coverage
-	failure float64 // the cost of a failed try
+	failure float64 // cost of a failed attempt
 }
 
-// compare puts the server that costs least in best, if it costs less.
+// compare updates best if one of the servers has a lower cost.
 func (t *Table) compare(in comparison, servers []world.BackendView, best *choice) {
 	for i := range servers {
 		b := &servers[i]
@@ -229,7 +231,7 @@
 	}
 }
 
-// place gives a request its place at the chosen server.
+// place reserves the chosen server for a request.
 func (t *Table) place(now time.Time, svc *service, best choice, req Request) *Placement {
 	s := best.state
 	load := s.load(now)
@@ -262,12 +264,13 @@
 	return errs.New(errs.KindQueueFull, "all backend servers of "+req.Service+" are full", "repeat the request after the time in Retry-After")
 }
 
-// RetryAfter is when a refused request should come back: one request's time.
+// RetryAfter returns how long the caller of a refused request should wait before a retry: the
+// typical latency of one request.
 func (t *Table) RetryAfter(service string) time.Duration {
 	return t.service(service).typicalLatency
 }
 
-// cost is the expected cost of a choice.
+// cost returns the expected cost of sending a request to a server, without that of a failure.
 func (t *Table) cost(now time.Time, svc *service, s *server, b *world.BackendView, load float64, req Request) float64 {
 	rule := t.conf.Cost
 	slots := float64(max(b.Slots, 1))
@@ -279,7 +282,8 @@
 	return cost + s.pathCost(now) + t.crossDataCentreCost(b, req)
 }
 
-// crossDataCentreCost is the cost of going to another data centre, 0 for a server of this one.
+// crossDataCentreCost is the cost of sending a request to another data centre, 0 for a server of
+// this one.
 func (t *Table) crossDataCentreCost(b *world.BackendView, req Request) float64 {
 	if b.DataCentre == req.DataCentre || !t.has(MechanismOwnDataCentre) {
 		return 0
@@ -287,9 +291,8 @@
 	return t.conf.Cost.OtherDataCentre + t.conf.Cost.PerMegabyte*t.typicalBytes(req.Group)/bytesPerMegabyte
 }
 
-// failureCost is the cost of a failed try: the request is lost, unless it can
-// be sent again. The more of the retry allowance is spent, the less likely that
-// is.
+// failureCost is the cost of a failed attempt: the request is lost unless it can be retried, which
+// becomes less likely as the retry allowance is spent.
 func (t *Table) failureCost(req Request, spent float64) float64 {
 	rule := t.conf.Cost
 	if !req.Idempotent || req.Repeat || req.Last {
@@ -298,7 +301,7 @@
 	return rule.IdempotentFailure + spent*(rule.Failure-rule.IdempotentFailure)
 }
 
-// latencyCost is the cost of an answer that is expected to take some time.
+// latencyCost is the cost of an answer with the given expected latency.
 func (r CostRule) latencyCost(expected, objective time.Duration) float64 {
 	if objective <= 0 {
 		objective = defaultObjective
@@ -308,7 +311,7 @@
 	return slowAnswerCost*part*part + r.Late*late
 }
 
-// pathCost keeps this host off a server that it cannot reach.
+// pathCost keeps this host from selecting a server that it cannot connect to.
 func (s *server) pathCost(now time.Time) float64 {
 	if now.Before(s.pathUntil) {
 		return blockedPathCost
--- a/internal/policy/report.go
+++ b/internal/policy/report.go
@@ -8,12 +8,12 @@
 	"github.com/pearshelf/pearshelf/internal/api/peerpb"
 )
 
-// RefreshEvery is the period in which requests in flight are told again.
+// RefreshEvery is the interval at which the number of requests in flight is sent to peers again.
 const RefreshEvery = 500 * time.Millisecond
 
-// Changes returns what the other hosts of the data centre must be told, and
-// what all hosts must be: the servers that failed. Both are told once; what
-// was told before is repeated by Refresh and by the next change.
+// Changes returns the updates for the other hosts of the data centre, and the failures that are sent
+// to all hosts. Each change is returned once; lost updates are compensated by Refresh and by the
+// next change, because the counts are cumulative.
 func (t *Table) Changes(now time.Time) (local, failures []*peerpb.BackendLoad) {
 	for k, s := range t.servers {
 		if !s.dirty && !s.failureUnsent {
@@ -39,14 +39,13 @@
 	return local, failures
 }
 
-// byServer orders reports, so that the same calls bring the same reports.
+// byServer orders reports, so that the same calls return the same reports.
 func byServer(a, b *peerpb.BackendLoad) int {
 	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Backend, b.Backend))
 }
 
-// Refresh marks all servers with requests of this host to be told again, and
-// forgets those that nothing has been heard of for long. It reports whether
-// there is something to tell.
+// Refresh marks all servers with requests of this host to be reported again, and drops state that
+// has not been updated for stateTTL. It reports whether there is something to send.
 func (t *Table) Refresh(now time.Time) (dirty bool) {
 	t.expireRoutes(now)
 	for _, svc := range t.services {
@@ -63,11 +62,11 @@
 	return dirty
 }
 
-// stateTTL is long enough for the belief to have faded.
+// stateTTL is long enough for a failure belief to return to its stationary value.
 const stateTTL = 2 * time.Minute
 
-// failuresOf is what the hosts of other data centres need: they do not share
-// this one's slots.
+// failuresOf is the part of a report that the hosts of other data centres need: they do not share the
+// capacity of this one.
 func failuresOf(row *peerpb.BackendLoad) *peerpb.BackendLoad {
 	return &peerpb.BackendLoad{Service: row.Service, Backend: row.Backend, Failed: row.Failed, Unreachable: row.Unreachable}
 }
@@ -81,9 +80,8 @@
 	return row
 }
 
-// Report takes what another host told in one of its lives. near is whether that
-// host tells this one of all its requests; its in-flight counts are used only
-// then.
+// Report applies a report of another host. life identifies that host's incarnation. near is set if
+// that host reports all its requests to this one; only then are its in-flight counts used.
 func (t *Table) Report(now time.Time, host string, life uint64, loads []*peerpb.BackendLoad, near bool) {
 	t.resetOnRestart(host, life)
 	for _, l := range loads {
@@ -91,7 +89,8 @@
 	}
 }
 
-// resetOnRestart forgets what an earlier life of a host told: its requests are gone.
+// resetOnRestart discards what a previous incarnation of a host reported: its requests no longer
+// exist.
 func (t *Table) resetOnRestart(host string, incarnation uint64) {
 	if t.incarnations[host] == incarnation {
 		return
@@ -103,7 +102,7 @@
 	}
 	for _, svc := range t.services {
 		if h, known := svc.sharingHosts[host]; known {
-			h.counts = counts{} // they begin anew
+			h.counts = counts{} // counts restart at zero
 		}
 	}
 }
@@ -127,7 +126,7 @@
 		p.counts = next.withoutNewest()
 	}
 	if next.isOlderThan(p.counts) {
-		return // an older datagram that came late
+		return // a datagram that arrived out of order
 	}
 	if t.has(MechanismOutcomes) {
 		s.recordPeerOutcomes(now, p.counts, next)
@@ -145,8 +144,8 @@
 	}
 }
 
-// recordPeerUse takes that another host has sent to a server, which it tells at once, or that it found
-// the server out of its reach.
+// recordPeerUse records that another host has sent requests to a server, which hosts report
+// immediately, or that it could not connect to the server.
 func (svc *service) recordPeerUse(now time.Time, s *server, p *peerLoad, next counts, first bool) {
 	sends := next.requests + next.retries - p.counts.requests - p.counts.retries
 	unreached := next.unreachable - p.counts.unreachable
@@ -162,9 +161,9 @@
 	}
 }
 
-// recordPeerInFlight takes what requests of another host wait at a server. How long the
-// oldest was expected to take is estimated from the load that is known here and
-// the usual time of the service: its route is not told.
+// recordPeerInFlight updates what requests of another host a server has in flight. The expected
+// latency of the oldest is estimated from the load known to this host and the typical latency of the
+// service, since its route is not reported.
 func (t *Table) recordPeerInFlight(now time.Time, k key, s *server, p *peerLoad, l *peerpb.BackendLoad) {
 	oldest := now.Add(-time.Duration(l.OldestMs) * time.Millisecond)
 	began := p.inFlight == 0 || oldest.Sub(p.oldest) > newOldestThreshold
@@ -176,7 +175,7 @@
 	}
 }
 
-// setInFlight keeps busy in step with what a peer has in flight; p may be nil.
+// setInFlight sets the in-flight count of a peer and keeps busyPeers consistent; p may be nil.
 func (s *server) setInFlight(p *peerLoad, n int) {
 	if p == nil {
 		return
@@ -191,12 +190,12 @@
 	p.inFlight = n
 }
 
-// newOldestThreshold is by how much the oldest request of a host must have begun later
-// for it to be another one; reports are some milliseconds under way.
+// newOldestThreshold is how much later the oldest request of a host must have been sent to count as a
+// different one, because the delay of reports varies by some milliseconds.
 const newOldestThreshold = 20 * time.Millisecond
 
-// maxOutcomesPerReport bounds the outcomes taken from one datagram: more are a backlog,
-// whose order and time are lost.
+// maxOutcomesPerReport limits the outcomes taken from one datagram: more than that is a backlog whose
+// order and timing are unknown.
 const maxOutcomesPerReport = 4
 
 func (s *server) recordPeerOutcomes(now time.Time, previous, current counts) {
--- a/internal/policy/retries.go
+++ b/internal/policy/retries.go
@@ -2,37 +2,36 @@
 
 import "time"
 
-// RetryRule bounds the requests that all hosts together send to a second
-// server. The hosts of a data centre share what falls to them, because each
-// knows what the others spent.
+// RetryRule limits the requests that all hosts together send to a second server. The hosts of a data
+// centre share its part of the allowance, because each of them knows what the others have spent.
 type RetryRule struct {
-	// Share is the part of a service's requests that may be sent again in a
-	// window, Reserve how many more.
+	// Share is the share of a service's requests in a window that may be retried, Reserve the
+	// number of further retries.
 	Share   float64
 	Reserve float64
 	// Window is the length of the sliding window.
 	Window time.Duration
 }
 
-// DefaultRetryRule is for a fleet without an allowance of its own.
+// DefaultRetryRule is used if the fleet does not configure a retry allowance.
 func DefaultRetryRule() RetryRule {
 	return RetryRule{Share: 0.1, Reserve: 10, Window: 10 * time.Second}
 }
 
 const (
-	// retrySafety is the part of the allowance that is spent: reports may be
-	// lost, and hosts may decide at the same moment.
+	// retrySafety is the part of the allowance that is actually used, because reports may be lost
+	// and hosts may decide concurrently.
 	retrySafety = 0.75
-	// peerTotalsTTL is how long a host counts as heard of a service after a report. At two
-	// requests a second one host in 400 has nothing to tell for so long.
+	// peerTotalsTTL is how long the totals of a host are used after its last report. At two
+	// requests a second, one host in 400 has nothing to report for that long.
 	peerTotalsTTL = 3 * time.Second
 )
 
-// Fleet is how many hosts there are.
+// Fleet is the size of the fleet.
 type Fleet struct {
-	// Near are the live hosts of this data centre, this one included.
+	// Near is the number of live hosts of this data centre, including this one.
 	Near int
-	// All is the most hosts that were ever live at a time.
+	// All is the largest number of hosts that were ever live at the same time.
 	All int
 }
 
@@ -51,18 +50,18 @@
 	}
 }
 
-// sendCounts is what one host sendCounts to a service's servers in the last window of RetryRule.
+// sendCounts counts what one host sent to a service's servers in the last window of RetryRule.
 type sendCounts struct{ requests, retries window }
 
-// peerTotals is what a host that shares the allowance of a service last told of it.
+// peerTotals is the latest report of a host that shares a service's retry allowance.
 type peerTotals struct {
 	counts     counts
 	sends      sendCounts
 	receivedAt time.Time
 }
 
-// recordPeerTotals counts what a host that shares the service's allowance did since its last
-// report. Each datagram brings the totals, so that the next one makes up for a lost one.
+// recordPeerTotals counts what a host that shares the service's allowance did since its last report.
+// Each datagram carries the totals, so that the next one compensates for a lost one.
 func (svc *service) recordPeerTotals(now time.Time, length time.Duration, host string, current counts) {
 	h, known := svc.sharingHosts[host]
 	if !known {
@@ -71,12 +70,12 @@
 	}
 	previous := h.counts
 	if current.isOlderThan(previous) {
-		return // an older datagram that came late
+		return // a datagram that arrived out of order
 	}
 	h.counts = current
 	h.receivedAt = now
 	if !known && current.requests+current.retries > maxOutcomesPerReport {
-		return // what was before this host heard of it is long past
+		return // the totals predate the first report to this host
 	}
 	if current.staleConnections > previous.staleConnections {
 		svc.staleConnectionAt = now
@@ -89,8 +88,8 @@
 	svc.limited.add(now, outcomeWindow, int(current.limited-previous.limited))
 }
 
-// expirePeers drops hosts that have not been heard for long: they may be gone, or share
-// with others now.
+// expirePeers drops hosts that have not reported for long: they may have left, or share the
+// allowance of other hosts now.
 func (svc *service) expirePeers(now time.Time) {
 	for host, h := range svc.sharingHosts {
 		if now.Sub(h.receivedAt) > stateTTL {
@@ -99,27 +98,26 @@
 	}
 }
 
-// AllowRetry reports whether a request of a service may be sent again.
+// AllowRetry reports whether a request of a service may be retried.
 func (t *Table) AllowRetry(now time.Time, name string, fleet Fleet) bool {
 	return t.retriesUsed(now, name, fleet).allowsOne()
 }
 
-// spentAllowance is the part of the retry allowance that is spent, 0 to 1.
+// spentAllowance is the share of the retry allowance that is spent, 0 to 1.
 func (t *Table) spentAllowance(now time.Time, name string, fleet Fleet) float64 {
 	return t.retriesUsed(now, name, fleet).spent()
 }
 
-// retriesUsed is how many requests were sent again in the last window, and how
-// many may be.
+// retriesUsed is the number of retries in the last window and the number allowed.
 type retriesUsed struct {
 	retries   int
 	allowance float64
 }
 
-// allowsOne reports whether one more may be sent; one in a window always is.
+// allowsOne reports whether another retry is allowed; one per window always is.
 func (u retriesUsed) allowsOne() bool { return float64(u.retries+1) <= max(u.allowance, 1) }
 
-// spent is the part of the allowance that is spent, 0 to 1.
+// spent is the share of the allowance that is spent, 0 to 1.
 func (u retriesUsed) spent() float64 { return min(float64(u.retries)/max(u.allowance, 1), 1) }
 
 func (t *Table) retriesUsed(now time.Time, name string, fleet Fleet) retriesUsed {
@@ -128,9 +126,9 @@
 	all := float64(max(fleet.All, fleet.Near, 1))
 	age := now.Sub(t.started)
 	if age < rule.Window && t.has(MechanismNewHosts) {
-		// A young host does not know what the others spent before its start, and
-		// may have spent itself before it was killed: it keeps to its own part, and
-		// its reserve grows with its age.
+		// A new host does not know what the others spent before it started, nor what
+		// it spent itself before a crash: it is limited to its own part of the
+		// allowance, and its reserve grows with its age.
 		reserve := rule.Reserve / all * age.Seconds() / rule.Window.Seconds()
 		return retriesUsed{svc.ownSends.retries.sum(now, rule.Window), rule.allowance(svc.ownSends.requests.sum(now, rule.Window), reserve)}
 	}
@@ -139,9 +137,9 @@
 	return retriesUsed{retries, rule.allowance(requests, reserve)}
 }
 
-// sharedSends sums what this host and those that it hears sent in the last window. What a
-// host is due that is not heard is that host's own to spend: else a fleet that is cut
-// apart spends its allowance more than once.
+// sharedSends sums the sends of this host and of the hosts that report to it in the last window. The
+// part of a host without recent reports is left to that host; otherwise a partitioned fleet would
+// spend its allowance more than once.
 func (svc *service) sharedSends(now time.Time, length time.Duration) (requests, retries, hosts int) {
 	requests, retries, hosts = svc.ownSends.requests.sum(now, length), svc.ownSends.retries.sum(now, length), 1
 	for _, h := range svc.sharingHosts {
@@ -154,7 +152,7 @@
 	return requests, retries, hosts
 }
 
-// allowance is the safe part of a share of the requests and a reserve.
+// allowance is the number of retries allowed for a number of requests and a reserve.
 func (r RetryRule) allowance(requests int, reserve float64) float64 {
 	return retrySafety * (r.Share*float64(requests) + reserve)
 }
--- a/internal/policy/spell.go
+++ b/internal/policy/spell.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// Rates of the two-state model. They need not be exact: an error of a factor
-// of two moves a decision by some hundred milliseconds.
+// Parameters of the two-state model. They need not be exact: an error by a factor of two shifts a
+// decision by a few hundred milliseconds.
 const (
-	// onsetPerSecond is how often a sound server begins to fail, recoveryPerSecond
-	// how often a failing one recovers: spells last some 8 s and come every 20.
+	// onsetPerSecond is the rate at which a healthy server starts to fail, recoveryPerSecond the
+	// rate at which a failing one recovers: failures last about 8 s and start every 20 s.
 	onsetPerSecond    = 1.0 / 20
 	recoveryPerSecond = 1.0 / 8
-	// healthyFailureRate and failInSpell are the shares of failed requests outside and in
-	// a spell.
+	// healthyFailureRate and failingFailureRate are the shares of requests that fail on a healthy
+	// and on a failing server.
 	healthyFailureRate = 0.012
 	failingFailureRate = 0.75
-	// healthyFastFailureRate is the share of requests that fail at once, or bring no
-	// answer, outside a spell. Nearly all errors there take the time of a request's
-	// work; the rest is room for what is not understood.
+	// healthyFastFailureRate is the share of requests that fail immediately, or bring no answer,
+	// on a healthy server. Nearly all errors there take the time of a request's work; the rest is
+	// a margin for unexplained failures.
 	healthyFastFailureRate = 0.001
-	// lateErrorLikelihoodRatio is the likelihood ratio of an error after the usual time of
-	// a request's work. Nearly all such errors are the request's own; it is above
-	// 1 because a server may also fail after its work: five in a row are a spell.
+	// lateErrorLikelihoodRatio is the likelihood ratio of an error after the typical work of a
+	// request. Nearly all such errors are caused by the request; the ratio is above 1 because a
+	// server may also fail after its work, so that five in a row indicate a failing server.
 	lateErrorLikelihoodRatio = 2.0
-	// unreachableLikelihoodRatio is the likelihood ratio of a failed connection: it may
-	// be the path of one host only.
+	// unreachableLikelihoodRatio is the likelihood ratio of a failed connection, which may be
+	// caused by the network path of a single host.
 	unreachableLikelihoodRatio = 6.0
-	// maxBelief bounds the belief, so that a few good requests can clear a server.
+	// maxBelief limits the belief, so that a few good answers are enough to clear a server.
 	maxBelief = 0.99
-	// newServerBelief is the belief in a spell of a server that has just started.
+	// newServerBelief is the initial belief for a server that has just started.
 	newServerBelief = 0.05
 )
 
-// healthModel is the belief that a backend server is in a healthModel of failures: a
-// two-state hidden Markov model whose observations are requests' outcomes.
+// healthModel estimates the probability that a backend server is failing: a two-state hidden Markov
+// model whose observations are the outcomes of requests.
 type healthModel struct {
 	probability float64
 	at          time.Time
@@ -43,7 +43,8 @@
 // stationaryBelief is the belief without any observation.
 const stationaryBelief = onsetPerSecond / (onsetPerSecond + recoveryPerSecond)
 
-// probabilityAt returns the probabilityAt at a time: old knowledge fades towards stationary.
+// probabilityAt returns the probability at a given time. Without observations it decays to
+// stationaryBelief.
 func (s *healthModel) probabilityAt(now time.Time) float64 {
 	age := max(now.Sub(s.at).Seconds(), 0)
 	weight := math.Exp(-(onsetPerSecond + recoveryPerSecond) * age)
--- a/internal/policy/stats.go
+++ b/internal/policy/stats.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// ServiceStats is what a host knows of one service, for its metrics.
+// ServiceStats is this host's state of one service, for metrics.
 type ServiceStats struct {
 	Service string
-	// Servers are known, Failing those believed to be in a spell of failures.
+	// Servers is the number of known servers, Failing that of those believed to be failing.
 	Servers int
 	Failing int
-	// InFlight are this host's own requests.
+	// InFlight is the number of requests of this host.
 	InFlight int
-	// Retries of the hosts that share their allowance with this one in the last window of RetryRule.
+	// Retries counts the retries in the last window of RetryRule by all hosts that share their
+	// allowance with this one.
 	Retries int
 }
 
-// Stats returns a row per service.
+// Stats returns an entry per service.
 func (t *Table) Stats(now time.Time) []ServiceStats {
 	rows := make(map[string]*ServiceStats, len(t.services))
 	for name, svc := range t.services {
@@ -24,7 +25,7 @@
 	for k, s := range t.servers {
 		row, ok := rows[k.service]
 		if !ok {
-			continue // a server told of by others, of a service not used here
+			continue // known only from other hosts; the service is not used here
 		}
 		row.Servers++
 		row.InFlight += s.inFlight
--- a/internal/policy/table.go
+++ b/internal/policy/table.go
@@ -1,16 +1,15 @@
-// Package policy decides where a request goes, whether it is sent again and when
-// it is refused, where every host picks by itself. It keeps, for each server, the
-// belief that it is in a spell of failures, the requests in flight from this host
-// and from the others of the data centre, and its speed. Hosts tell each other
-// what they see (see Changes and Report), so that each knows nearly as much as
-// one host that saw all requests.
+// Package policy implements request routing: it selects the backend server for a request, decides
+// whether the request is retried, and when it is refused. Every host makes these decisions on its
+// own. For each server a host tracks the probability that the server is failing, the requests in
+// flight from this host and from the other hosts of the data centre, and the server's speed. Hosts
+// exchange their observations (see Changes and Report), so that each knows nearly as much as a
+// single host that handled all requests.
 //
-// The package has no clock, lock, socket or unseeded random number: each call
-// takes the time, and the same calls bring the same decisions. Package balance
-// holds lock and clock for the daemon; experiment/replay drives the same code in
-// simulated time. A file holds one decision; its comment names the load that it
-// answers. docs/design/constants.md tells what else was weighed, and where values come
-// from.
+// The package uses no clock, lock, socket or unseeded random number: every call is given the time,
+// and the same sequence of calls yields the same decisions. Package balance adds the lock and the
+// clock for the daemon; experiment/replay runs the same code in simulated time. Each file covers
+// one decision, and its comment names the load that it handles. docs/design/constants.md lists the
+// alternatives that were evaluated and where the values come from.
 package policy
 
 import (
@@ -21,144 +20,149 @@
 )
 
 const (
-	// peerReportTTL is how long another host's in-flight count holds without news.
-	// Counts are told again each RefreshEvery.
+	// peerReportTTL is how long another host's in-flight count is used without an update. Hosts
+	// send their counts every RefreshEvery.
 	peerReportTTL = 1600 * time.Millisecond
-	// reportedLoadHalfLife is how fast the load that a server told loses its weight: a
-	// request takes some 250 ms.
+	// reportedLoadHalfLife is the half-life of a load reported by a server. A request takes
+	// about 250 ms.
 	reportedLoadHalfLife = 200 * time.Millisecond
-	// serviceLatencyWeight is the weight of one answer in the usual time of a service.
+	// serviceLatencyWeight is the weight of one answer in the moving average of a service's
+	// typical latency.
 	serviceLatencyWeight = 0.05
-	// defaultTypicalLatency is the time of a request before any answer.
+	// defaultTypicalLatency is used until the first answer of a service.
 	defaultTypicalLatency = 250 * time.Millisecond
-	// pathBackoff is how long a server that this host cannot reach is avoided here,
-	// doubled for each further failure up to maxPathHold.
+	// pathBackoff is how long this host avoids a server that it cannot connect to; it doubles
+	// with each further failure, up to maxPathBackoff.
 	pathBackoff    = 500 * time.Millisecond
 	maxPathBackoff = 4 * time.Second
 )
 
 type key struct{ service, backend string }
 
-// peerLoad is what another host last told of a server.
+// peerLoad is the latest report of another host about a server.
 type peerLoad struct {
 	inFlight int
 	at       time.Time
 	counts   counts
-	// oldest is since when the oldest of inFlight waits, expected how long it was
-	// expected to take.
+	// oldest is when the oldest of the inFlight requests was sent, expected the latency that was
+	// expected for it.
 	oldest   time.Time
 	expected time.Duration
-	use      serverUse // of the server by its last send
+	use      serverUse // recorded for the peer's last send
 }
 
-// server is one row of the table.
+// server is this host's state of one backend server.
 type server struct {
 	health   healthModel
 	inFlight int
-	pending  []*pending // of inFlight, this host's
+	pending  []*pending // the requests in inFlight
 	counts   counts
 	peers    map[string]*peerLoad
-	// busyPeers are those of peers that have a request in flight: few, where peers are
-	// all hosts. Each pick looks at them for each server.
+	// busyPeers are the peers that have requests in flight. Every pick reads this list for every
+	// server, and it is short even where all hosts are peers.
 	busyPeers []*peerLoad
 
-	// unseenLoad is the load beyond what is known here, as told at toldAt.
+	// unseenLoad is the part of the load reported at loadReportedAt that this host cannot account
+	// for from its own requests and those of its peers.
 	unseenLoad     float64
 	loadReportedAt time.Time
-	// loadToForward is the load that the server told this host since its last report,
-	// plus 1; 0 for nothing told.
+	// loadToForward is the load that the server reported to this host since the last report to
+	// peers, plus 1; 0 if there was none.
 	loadToForward uint32
-	// slowness is the time of its answers against what is usual for their routes.
+	// slowness is the ratio of the server's latency to what is typical for the routes.
 	slowness float64
-	// failedAt is when a request last failed there, at any host.
+	// failedAt is when a request last failed on this server, at any host.
 	failedAt time.Time
-	// lastSent is when a host of this data centre last sent a request there that it has not
-	// found unsent since.
+	// lastSent is when a host of this data centre last sent the server a request that was not
+	// later found unsent.
 	lastSent time.Time
-	// watch is what UseChanges has seen of it.
+	// watch is the state of UseChanges for this server.
 	watch usageWatch
-	// joined is set for a server that this host has seen join.
+	// joined is set if this host has observed the server joining.
 	joined bool
-	// slots are how many requests it works on at a time, 0 if unknown here.
+	// slots is how many requests the server processes concurrently, 0 if unknown to this host.
 	slots int
-	// coldUntil is until when a new server is slow.
+	// coldUntil is the end of the warm-up of a new server, during which it is expected to be slow.
 	coldUntil time.Time
-	// pathFailures in a row from this host; avoided until pathUntil.
+	// pathFailures counts consecutive connection failures from this host, which avoids the server
+	// until pathUntil.
 	pathFailures int
 	pathUntil    time.Time
 
-	// started is when its process started, in Unix milliseconds, 0 if not told, and
+	// started is the start time of the server's process in Unix milliseconds, 0 if unknown;
 	// process counts the processes seen under the server's ID.
 	started int64
 	process int
 
-	// dirty: others of the data centre must be told. failing: all hosts.
+	// dirty is set if the hosts of this data centre must be sent an update, failureUnsent if all
+	// hosts must be.
 	dirty         bool
 	failureUnsent bool
 }
 
-// service is what is known of a service as a whole.
+// service is this host's state of one service.
 type service struct {
-	// typicalLatency is the typicalLatency time to the header of a good answer at an idle server,
-	// whatever its route. times is how answers spread about their expected time,
-	// silentShare the part of failures without an answer.
+	// typicalLatency is the time to the header of a good answer on an idle server, averaged over
+	// all routes. latencies is the distribution of latencies relative to what was expected, and
+	// unansweredShare the share of failures that brought no answer.
 	typicalLatency  time.Duration
 	latencies       latencyDistribution
 	unansweredShare float64
-	// ownSends is what this host sent, for RetryRule.
+	// ownSends counts this host's requests and retries, for RetryRule.
 	ownSends sendCounts
-	// staleConnectionAt is when an idle connection to one of its servers last broke under a
-	// request, at this host or another of the data centre.
+	// staleConnectionAt is when an idle connection to one of the service's servers last broke
+	// under a request, at any host of this data centre.
 	staleConnectionAt time.Time
-	// served and unserved requests of this data centre, for breadth.
+	// served and unserved count the requests of this data centre, see breadth.go.
 	served, unserved window
-	// sends to the servers of this host's subset, by all hosts that use them.
+	// sends counts requests to the servers of this host's subset, by all hosts that use them.
 	sends window
-	// limited requests of this data centre, refused beyond their customers' limits.
+	// limited counts requests of this data centre that were refused beyond their customers' limits.
 	limited window
-	// late of served, for admission.
+	// late counts the served requests that were answered after their latency objective, see
+	// admission.go.
 	late window
-	// priorities is the usual work of this host's requests by rank, in milliseconds.
+	// priorities is the typical work of this host's requests by priority, in milliseconds.
 	priorities map[int]*window
-	// deadlines is the time that requests have, by route.
+	// deadlines is the time allowed to requests, by route.
 	deadlines map[string]routeDeadline
-	// totals are this host's counts over all servers, near what the hosts that share
-	// the service's allowance last told.
+	// totals are this host's counts over all servers; peers holds the latest totals of the hosts
+	// that share the service's retry allowance.
 	totals        counts
 	sharingHosts  map[string]*peerTotals
 	dirty         bool
 	beliefOptions beliefOptions
-	// cachedUnansweredWeight is calm as of calmAt.
+	// cachedUnansweredWeight is the value of unansweredWeight at unansweredWeightAt.
 	cachedUnansweredWeight float64
 	unansweredWeightAt     time.Time
 }
 
-// beliefOptions is what a belief goes by.
+// beliefOptions selects the evidence that the failure belief of a server is based on.
 type beliefOptions struct{ outcomes, unanswered bool }
 
-// Config of a Table.
+// Config configures a Table.
 type Config struct {
 	Cost  CostRule
 	Retry RetryRule
-	// Random breaks ties between servers of equal cost. Hosts must not share a
-	// seed, or those with equal views choose alike.
+	// Random breaks ties between servers of equal cost. Hosts must use different seeds, or those
+	// with equal views select the same servers.
 	Random *rand.Rand
-	// Without leaves mechanisms out, to measure what they are worth.
+	// Without disables mechanisms, to measure their benefit.
 	Without []Mechanism
 }
 
-// Table is what one host knows of all services. It is not safe for concurrent
-// use.
+// Table is the state that one host keeps of all services and servers. It is not safe for
+// concurrent use.
 type Table struct {
 	conf         Config
 	started      time.Time
 	servers      map[key]*server
 	services     map[string]*service
-	incarnations map[string]uint64 // of the other hosts, by name
+	incarnations map[string]uint64 // of other hosts, by host name
 	routes       map[string]*route // by Request.Group
 }
 
-// NewTable returns an empty table of a host that started at now.
+// NewTable returns an empty table of a host that was started at now.
 func NewTable(now time.Time, conf Config) *Table {
 	return &Table{
 		conf:         conf,
@@ -170,7 +174,7 @@
 	}
 }
 
-// service returns a service's row, made if absent.
+// service returns the state of a service, creating it if needed.
 func (t *Table) service(name string) *service {
 	svc, ok := t.services[name]
 	if !ok {
@@ -181,8 +185,8 @@
 	return svc
 }
 
-// state returns a state's state, made if absent. view is nil where another host tells of the
-// state.
+// state returns the state of a server, creating it if needed. view is nil if the server is known
+// only from another host's report.
 func (t *Table) state(now time.Time, k key, view *world.BackendView) *server {
 	s, ok := t.servers[k]
 	if ok {
@@ -205,16 +209,16 @@
 	return s
 }
 
-// newServerPeriod is for how long a server counts as one that has just started after it joined. A server
-// that this host meets for the first time may be an old one: subsets move whenever hosts or
-// servers come and go.
+// newServerPeriod is how long after joining a server is treated as newly started. A server that is
+// new to this host is not necessarily a new one: subsets change whenever hosts or servers join or
+// leave.
 const newServerPeriod = 10 * time.Second
 
 func joinedRecently(now time.Time, view *world.BackendView) bool {
 	return !view.JoinedAt.IsZero() && now.Sub(view.JoinedAt) < newServerPeriod
 }
 
-// markCold holds a server for one that has just started.
+// markCold treats a server as newly started: most likely healthy, and slow while it warms up.
 func (t *Table) markCold(now time.Time, s *server, view *world.BackendView) {
 	if t.has(MechanismColdStart) {
 		s.health.probability = newServerBelief
@@ -222,9 +226,9 @@
 	}
 }
 
-// refreshServer takes what the configuration says of a server now. If its process has started
-// again, nothing that was learnt of the earlier one holds; counts go on, because other
-// hosts learn from their growth.
+// refreshServer applies the current configuration of a server. If its process was restarted,
+// everything learned about the previous process is discarded; the counts continue, because other
+// hosts derive outcomes from their increments.
 func (t *Table) refreshServer(now time.Time, s *server, view *world.BackendView) {
 	s.slots = view.Slots
 	if view.Started == 0 || view.Started == s.started {
@@ -244,14 +248,14 @@
 	*s = *fresh
 }
 
-// recordReportedLoad keeps what the told load exceeds the known one by: requests of
-// hosts that this one does not hear.
+// recordReportedLoad keeps the part of a reported load that exceeds the known requests: it comes
+// from hosts that do not report to this one.
 func (s *server) recordReportedLoad(now time.Time, load int) {
 	s.unseenLoad = max(float64(load-s.knownInFlight(now))-1, 0)
 	s.loadReportedAt = now
 }
 
-// knownInFlight is the number of requests in flight from this host and those it hears.
+// knownInFlight returns the number of requests in flight from this host and from its peers.
 func (s *server) knownInFlight(now time.Time) int {
 	total := s.inFlight
 	for _, p := range s.busyPeers {
@@ -262,7 +266,7 @@
 	return total
 }
 
-// load estimates how many requests the server has now.
+// load estimates how many requests the server is processing or queueing.
 func (s *server) load(now time.Time) float64 {
 	return float64(s.knownInFlight(now)) + s.unseenLoad*decay(now.Sub(s.loadReportedAt), reportedLoadHalfLife)
 }
--- a/internal/policy/times.go
+++ b/internal/policy/times.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Whether a request that waits will still be answered depends on how widely the
-// times of its service spread: at some 1.5 times the usual time nearly all answers
-// have come, at others a tenth come after 3 times. So the times are observed, as
-// ratios to the time that was expected when the request was sent, queue included:
-// then one distribution serves all servers and loads of a service.
+// The probability that a waiting request will still be answered depends on the spread of the
+// service's latencies: for some services nearly all answers have come after 1.5 times the typical
+// latency, for others a tenth come after 3 times that. The latencies are therefore recorded as ratios
+// to the latency that was expected when the request was sent, including the queue, so that one
+// distribution describes all servers of a service under any load.
 const (
-	// ratioStep is the width of a bucket; ratioLeast and ratioBuckets make the range
-	// 0.1 to 20 times the expected time.
+	// ratioStep is the relative width of a bucket; with minRatio and ratioBuckets the range is
+	// 0.1 to 20 times the expected latency.
 	ratioStep    = 1.1
 	minRatio     = 0.1
 	ratioBuckets = 56
-	// latencyHistory is how many answers are remembered; older ones lose half of their
-	// weight each time that many have come. A host sees a few a second.
+	// latencyHistory is the number of recent answers that the distribution represents. Older ones
+	// lose half of their weight each time that many have come. A host sees a few per second.
 	latencyHistory = 400
-	// Before any answer the distribution is log-normal, as work often is, with the
-	// weight of priorAnswers and a tail of one in fifty up to ratioBuckets.
+	// The initial distribution is log-normal, as service times often are, with the weight of
+	// priorAnswers and a tail of one in fifty up to ratioBuckets.
 	priorAnswers = 20
 	priorSpread  = 0.4
 	priorTail    = 0.02
 )
 
-// latencyDistribution is the distribution of the time to the header of a good answer, in units
-// of the time expected when the request was sent.
+// latencyDistribution is the distribution of the time to the header of a good answer, in units of the
+// latency expected when the request was sent.
 type latencyDistribution struct {
 	weights [ratioBuckets]float64
-	// above is the sum of the weights of higher buckets: it is asked for far more
-	// often than an answer comes.
+	// above is the sum of the weights of all higher buckets. It is precomputed because it is read
+	// far more often than answers come.
 	above [ratioBuckets]float64
 	total float64
 }
@@ -54,7 +54,7 @@
 	return t
 }
 
-// updateSums adds up the weights.
+// updateSums recomputes the totals from the weights.
 func (t *latencyDistribution) updateSums() {
 	t.total = 0
 	for i := ratioBuckets - 1; i >= 0; i-- {
@@ -63,7 +63,7 @@
 	}
 }
 
-// bucketsPerE is the number of buckets for a factor of e.
+// bucketsPerE is the number of buckets per factor of e.
 var bucketsPerE = 1 / math.Log(ratioStep)
 
 func ratioBucket(ratio float64) int {
@@ -73,7 +73,7 @@
 	return min(int(math.Log(ratio/minRatio)*bucketsPerE), ratioBuckets-1)
 }
 
-// add notes an answer that took ratio times what was expected.
+// add records an answer that took ratio times the expected latency.
 func (t *latencyDistribution) add(ratio float64) {
 	t.weights[ratioBucket(ratio)]++
 	if t.total+1 >= 2*latencyHistory {
@@ -84,12 +84,12 @@
 	t.updateSums()
 }
 
-// shareAbove is the share of answers that take longer than a ratio, above 0.
+// shareAbove is the share of answers with a higher ratio; it is never 0.
 func (t *latencyDistribution) shareAbove(ratio float64) float64 {
 	return max(t.above[ratioBucket(ratio)]/t.total, 1/(2*t.total))
 }
 
-// quantile is the ratio that a share of the answers stays below.
+// quantile is the ratio that the given share of answers does not exceed.
 func (t *latencyDistribution) quantile(share float64) float64 {
 	for i, above := range t.above {
 		if above <= (1-share)*t.total {
@@ -99,8 +99,8 @@
 	return minRatio * math.Pow(ratioStep, ratioBuckets)
 }
 
-// probabilityAfter is the chance that an answer expected to take some time comes
-// after limit.
+// probabilityAfter is the probability that an answer with the given expected latency takes longer than
+// limit.
 func (t *latencyDistribution) probabilityAfter(limit, expected time.Duration) float64 {
 	if limit <= 0 {
 		return 1
--- a/internal/policy/trial.go
+++ b/internal/policy/trial.go
@@ -6,33 +6,33 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// A server that is believed to fail must be tried now and then: it may have recovered, and
-// when all fails at once the others must not be the only ones in use. A request that tries
-// it most likely fails there. So an idempotent request goes to a sound server, and a copy
-// of it to the doubted one: whichever answers first answers the caller, and what became of
-// the copy says whether the server has recovered.
+// A server believed to be failing must be tried from time to time: it may have recovered, and if all
+// servers fail at once the others must not be the only ones in use. A request sent there most likely
+// fails. So an idempotent request is sent to a healthy server and a copy of it to the failing one.
+// The first answer of the two is returned to the caller, and the outcome of the copy shows whether
+// the server has recovered.
 const (
-	// trialInterval is the time without a request after which a doubted server is tried: no
-	// server is to be out of use for 2 s, and more trials are more copies.
+	// trialInterval is the time without a request after which a failing server is tried. No server
+	// may be out of use for 2 s, and a shorter interval sends more copies.
 	trialInterval = 1800 * time.Millisecond
-	// trialQuantile of the answers of sound servers come within the time that a trial is
-	// given; without one it counts as unanswered.
+	// trialQuantile is the quantile of the latency distribution that sets the timeout of a trial;
+	// a trial that exceeds it counts as unanswered.
 	trialQuantile = 0.98
-	// minTrialTimeout is the least such time, for services that answer at once: a new
+	// minTrialTimeout is the minimum timeout, for services that answer immediately: setting up a
 	// connection and a busy host take longer.
 	minTrialTimeout = 100 * time.Millisecond
-	// maxFirstBelief is the belief up to which the server that has the request is sound enough for a
-	// trial beside it. A trial is one of the servers that the request may have: where the first
-	// most likely fails, it is needed for one that does not.
+	// maxFirstBelief is the belief up to which the server of the first send is healthy enough for a
+	// trial in parallel. A trial uses up one of the request's attempts, which is needed for a
+	// healthy server if the first send is likely to fail.
 	maxFirstBelief = 0.1
-	// trialAllowance is the part of the retry allowance from which on no server is
-	// tried. Copies of requests that hang may spend most of it.
+	// trialAllowance is the spent share of the retry allowance above which no trials are made.
+	// Copies of requests that hang may spend most of the allowance.
 	trialAllowance = 0.95
 )
 
-// Trial gives a copy of an idempotent request a place at a server that is believed to
-// fail, if one is due and the retry allowance is mostly there. req.Exclude names the
-// servers that the request has had.
+// Trial places a copy of an idempotent request on a server believed to be failing, if a trial is due
+// and enough of the retry allowance is left. req.Exclude lists the servers that have received the
+// request.
 func (t *Table) Trial(now time.Time, view *world.ServiceView, req Request) (*Placement, bool) {
 	if !t.has(MechanismTrials) || !req.Idempotent || req.FirstBelief > maxFirstBelief {
 		return nil, false
@@ -53,8 +53,8 @@
 	return placement, true
 }
 
-// mostOverdueForTrial returns the doubted server of this data centre that has had no request for
-// longest.
+// mostOverdueForTrial returns the failing server of this data centre that has been without a request
+// for longest.
 func (t *Table) mostOverdueForTrial(now time.Time, svc *service, view *world.ServiceView, req Request) choice {
 	var best choice
 	servers := view.Candidates()
--- a/internal/policy/window.go
+++ b/internal/policy/window.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// windowBuckets divide a window.
+// windowBuckets is the number of buckets that a window is divided into.
 const windowBuckets = 20
 
-// window counts events of the last Window in buckets.
+// window counts the events of a sliding period in buckets.
 type window struct {
 	counts [windowBuckets + 1]int
-	start  time.Time // of the first event; the steady clock counts from there
+	start  time.Time // time of the first event; bucket numbers are relative to it
 	bucket int64     // number of the newest bucket since start
 }
 
@@ -21,7 +21,7 @@
 	return w.newest(now, length, len(w.counts))
 }
 
-// newest sums the newest n buckets, the one that is being filled included.
+// newest sums the newest n buckets, including the one that is being filled.
 func (w *window) newest(now time.Time, length time.Duration, n int) int {
 	w.advance(now, length)
 	size := int64(len(w.counts))
@@ -32,7 +32,7 @@
 	return total
 }
 
-// advance clears the buckets that began since the last call.
+// advance clears the buckets that started since the last call.
 func (w *window) advance(now time.Time, length time.Duration) {
 	if w.start.IsZero() {
 		w.start = now
