--- a/internal/policy/availability_test.go
+++ b/internal/policy/availability_test.go
@@ -20,8 +20,8 @@
 	return table.Now()
 }
 
-// A server that reports that it takes no requests receives neither first sends nor copies nor trials,
-// not even while too few servers are in use. If there is no other server, none is picked.
+// A server that reports that it takes no requests receives neither first sends nor copies nor
+// trials, not even while too few servers are in use. If there is no other server, none is picked.
 func TestServersThatTakeNoRequestsAreNotPicked(t *testing.T) {
 	for name, report := range map[string]protocol.ServerState{"leaving": {Leaving: true}, "resting": {Rest: time.Minute}} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/policy/breadth.go
+++ b/internal/policy/breadth.go
@@ -211,7 +211,8 @@
 }
 
 // isUntried reports whether a server has joined and not received a request yet. If there are fewer
-// requests than servers it would wait for its first request for long, since known servers cost less.
+// requests than servers it would wait for its first request for long, since known servers cost
+// less.
 func (s *server) isUntried() bool { return s.joined && s.lastSent.IsZero() }
 
 // recordUse records that the server is sent a request.
--- a/internal/policy/breadth_test.go
+++ b/internal/policy/breadth_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// While many requests are refused beyond their customers' limits, servers believed to be failing are
-// used too, also by non-repeatable requests.
+// While many requests are refused beyond their customers' limits, servers believed to be failing
+// are used too, also by non-repeatable requests.
 func TestHeavilyLimitedServiceUsesFailingServers(t *testing.T) {
 	for _, limited := range []int{0, 40} {
 		table, now := newTable()
@@ -66,10 +66,10 @@
 	}
 }
 
-// A server was picked to keep it in use, but the request never reached it because the kept connection
-// had been closed, and was sent to another server. The first one counted as in use for 1.8 s all the
-// same. With six of eleven servers skipped like this, healthy servers had no request for 2 s while
-// many requests were unserved.
+// A server was picked to keep it in use, but the request never reached it because the kept
+// connection had been closed, and was sent to another server. The first one counted as in use for
+// 1.8 s all the same. With six of eleven servers skipped like this, healthy servers had no request
+// for 2 s while many requests were unserved.
 func TestUnsentRequestDoesNotCountAsUse(t *testing.T) {
 	for name, unsent := range map[string]Done{
 		"kept connection was closed": {Outcome: Neutral, Unsent: true},
@@ -96,8 +96,8 @@
 	}
 }
 
-// A host reports that it has sent a request to a server, and shortly after that it could not connect.
-// The server then does not count as in use, since other hosts may be able to reach it.
+// A host reports that it has sent a request to a server, and shortly after that it could not
+// connect. The server then does not count as in use, since other hosts may be able to reach it.
 func TestConnectionFailureOfPeerDoesNotCountAsUse(t *testing.T) {
 	table, now := newTable()
 	v := view(2)
--- a/internal/policy/connections.go
+++ b/internal/policy/connections.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// Servers may drop idle connections without notice, and earlier than they announce. The next request
-// on such a connection is lost, and it is unknown whether it was executed. After one such loss the
-// hosts of the data centre send non-idempotent requests only on connections that were recently used.
+// Servers may drop idle connections without notice, and earlier than they announce. The next
+// request on such a connection is lost, and it is unknown whether it was executed. After one such
+// loss the hosts of the data centre send non-idempotent requests only on connections that were
+// recently used.
 const (
 	// staleConnectionPeriod is how long after a loss this restriction applies. A server drops
 	// connections for some seconds, and new connections are cheap.
--- a/internal/policy/connections_test.go
+++ b/internal/policy/connections_test.go
@@ -6,8 +6,8 @@
 )
 
 // After an idle connection has broken under a request, the hosts of the data centre send
-// non-idempotent requests only on recently used connections. The failure belief of the server hardly
-// changes.
+// non-idempotent requests only on recently used connections. The failure belief of the server
+// hardly changes.
 func TestBrokenIdleConnection(t *testing.T) {
 	sender, now := newTable()
 	peer, _ := newTable()
--- a/internal/policy/copies.go
+++ b/internal/policy/copies.go
@@ -13,7 +13,8 @@
 // retry allowance, and traffic if it is sent to another data centre. It is therefore sent once the
 // expected loss that it avoids exceeds its cost.
 const (
-	// reviewQuantile is the quantile of the latency distribution before which no copy is considered.
+	// reviewQuantile is the quantile of the latency distribution before which no copy is
+	// considered.
 	reviewQuantile = 0.7
 	// reviewStep is the interval between two reviews, in units of the expected latency.
 	reviewStep = 0.15
@@ -69,8 +70,8 @@
 	return waiting*(1-other) > cost
 }
 
-// lossIfWaiting is the expected loss of a request that continues to wait on a server: the answer may
-// never come, or come too late.
+// lossIfWaiting is the expected loss of a request that continues to wait on a server: the answer
+// may never come, or come too late.
 func (t *Table) lossIfWaiting(now time.Time, svc *service, req Request, p *Placement) float64 {
 	age := now.Sub(p.pending.since)
 	unanswered := svc.latencies.probabilityAfter(age, p.pending.expected)
@@ -99,7 +100,8 @@
 	return t.conf.Cost.Late*late + (t.conf.Cost.Failure-t.conf.Cost.Late)*lost
 }
 
-// utilization is the share of the slots of the subset in this data centre that are in use, at most 1.
+// utilization is the share of the slots of the subset in this data centre that are in use, at most
+// 1.
 func (t *Table) utilization(now time.Time, view *world.ServiceView, req Request) float64 {
 	load, slots := 0.0, 0
 	servers := view.Candidates()
--- a/internal/policy/counts.go
+++ b/internal/policy/counts.go
@@ -54,7 +54,8 @@
 	}
 }
 
-// isOlderThan reports whether any count is lower than in d, as in a report that arrived out of order.
+// isOlderThan reports whether any count is lower than in d, as in a report that arrived out of
+// order.
 func (c counts) isOlderThan(d counts) bool {
 	return c.good < d.good || c.failed < d.failed || c.unreachable < d.unreachable ||
 		c.shed < d.shed || c.lateErrors < d.lateErrors ||
@@ -64,9 +65,9 @@
 // unserved is the number of requests that did not yield a good answer.
 func (c counts) unserved() uint64 { return c.failed + c.lateErrors + c.staleConnections + c.shed }
 
-// withoutNewest returns the counts without the newest outcome. In the first report that a host sends
-// about a server only that outcome is current. It is taken to be a failure if there was one, because
-// failures are what is sent to all hosts.
+// withoutNewest returns the counts without the newest outcome. In the first report that a host
+// sends about a server only that outcome is current. It is taken to be a failure if there was one,
+// because failures are what is sent to all hosts.
 func (c counts) withoutNewest() counts {
 	switch {
 	case c.failed > 0:
--- a/internal/policy/fewrequests_test.go
+++ b/internal/policy/fewrequests_test.go
@@ -47,9 +47,9 @@
 	return float64(idle) / float64(picked)
 }
 
-// Servers are picked for being out of use only if there are enough requests to keep servers in use. If
-// servers get one request every few seconds nearly all picks would be of this kind, each of a server
-// about which the least is known.
+// Servers are picked for being out of use only if there are enough requests to keep servers in use.
+// If servers get one request every few seconds nearly all picks would be of this kind, each of a
+// server about which the least is known.
 func TestCoverageRequiresEnoughRequests(t *testing.T) {
 	few, many := shareSentToUnused(t, 0.3), shareSentToUnused(t, 3)
 	if few > 0.5 {
--- a/internal/policy/outcome.go
+++ b/internal/policy/outcome.go
@@ -6,9 +6,9 @@
 	"github.com/pearshelf/pearshelf/internal/protocol"
 )
 
-// What the end of a request says about its server depends on the timing: an immediate error is caused by
-// the server, one that comes after the work of the request most likely by the request itself, and a
-// connection that had been idle may have been dropped by the server.
+// What the end of a request says about its server depends on the timing: an immediate error is
+// caused by the server, one that comes after the work of the request most likely by the request
+// itself, and a connection that had been idle may have been dropped by the server.
 
 // QuickErrorShare is the share of a server's typical latency up to which an error counts as
 // immediate. It lies between the latency of errors of failing servers and that of errors which come
@@ -66,7 +66,8 @@
 	unansweredLogOdds float64
 }
 
-// Finish records the end of a request that Pick placed. It must be called exactly once per placement.
+// Finish records the end of a request that Pick placed. It must be called exactly once per
+// placement.
 func (t *Table) Finish(now time.Time, p *Placement, done Done) {
 	s, ok := t.servers[p.key]
 	if !ok {
@@ -167,8 +168,9 @@
 	}
 }
 
-// fastErrorLimit is the latency up to which an error cannot be the result of the request's own work.
-// Failing servers return errors immediately; an error caused by a request takes the time of its work.
+// fastErrorLimit is the latency up to which an error cannot be the result of the request's own
+// work. Failing servers return errors immediately; an error caused by a request takes the time of
+// its work.
 func fastErrorLimit(p *Placement) time.Duration {
 	return time.Duration(QuickErrorShare * float64(p.pending.work) * p.pending.slowness)
 }
--- a/internal/policy/patience.go
+++ b/internal/policy/patience.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Routes of one service may have very different deadlines. A queue that is acceptable for the route with
-// the longest deadline may exceed that of the route with the shortest one, whose requests then all time
-// out in the queue. While requests with short deadlines arrive, those with considerably more time are
-// therefore not allowed to extend the queue beyond what the others can wait.
+// Routes of one service may have very different deadlines. A queue that is acceptable for the route
+// with the longest deadline may exceed that of the route with the shortest one, whose requests then
+// all time out in the queue. While requests with short deadlines arrive, those with considerably
+// more time are therefore not allowed to extend the queue beyond what the others can wait.
 
 const (
 	// deadlineTTL is how long the allowed time of a route is considered after its last request.
@@ -18,9 +18,9 @@
 	maxQueueShare = 0.4
 )
 
-// routeDeadline is the longest time allowed to a route's recent requests on arrival, and the time of
-// the last one. The maximum is used because callers that retry have less time left than the route
-// allows.
+// routeDeadline is the longest time allowed to a route's recent requests on arrival, and the time
+// of the last one. The maximum is used because callers that retry have less time left than the
+// route allows.
 type routeDeadline struct {
 	allowed time.Duration
 	at      time.Time
--- a/internal/policy/pick.go
+++ b/internal/policy/pick.go
@@ -253,7 +253,7 @@
 	s.inFlight++
 	s.pending = append(s.pending, waiting)
 	s.dirty = true
-	svc.recordSend(now, t.conf.Retry.Window, s, req)
+	svc.recordAttempt(now, t.conf.Retry.Window, s, req)
 	return placement
 }
 
--- a/internal/policy/pure_test.go
+++ b/internal/policy/pure_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// Decisions use only the time and the random source that they are given, and take no lock, so that the
-// same calls yield the same decisions on a host and in a replay.
+// Decisions use only the time and the random source that they are given, and take no lock, so that
+// the same calls yield the same decisions on a host and in a replay.
 func TestNoClockLockOrSocket(t *testing.T) {
 	allowedImports := []string{
 		"cmp", "math", "math/rand/v2", "slices", "time",
@@ -23,9 +23,9 @@
 		"github.com/pearshelf/pearshelf/internal/ratelimit",
 		"github.com/pearshelf/pearshelf/internal/world",
 	}
-	// These packages may be used only as far as they read neither a clock nor the shared random source
-	// and have no mutable state: a snapshot of what servers reported, not the table; a view of their
-	// rate limits, not the listener.
+	// These packages may be used only as far as they read neither a clock nor the shared random
+	// source and have no mutable state: a snapshot of what servers reported, not the table; a view
+	// of their rate limits, not the listener.
 	allowedCalls := map[string][]string{
 		"time":         {"Duration", "Time", "Nanosecond", "Microsecond", "Millisecond", "Second", "Minute"},
 		"rand":         {"Rand"},
--- a/internal/policy/report.go
+++ b/internal/policy/report.go
@@ -11,9 +11,9 @@
 // RefreshEvery is the interval at which the number of requests in flight is sent to peers again.
 const RefreshEvery = 500 * time.Millisecond
 
-// Changes returns the updates for the other hosts of the data centre, and the failures that are sent
-// to all hosts. Each change is returned once; lost updates are compensated by Refresh and by the
-// next change, because the counts are cumulative.
+// Changes returns the updates for the other hosts of the data centre, and the failures that are
+// sent to all hosts. Each change is returned once; lost updates are compensated by Refresh and by
+// the next change, because the counts are cumulative.
 func (t *Table) Changes(now time.Time) (local, failures []*peerpb.BackendLoad) {
 	for k, s := range t.servers {
 		if !s.dirty && !s.failureUnsent {
@@ -49,7 +49,7 @@
 func (t *Table) Refresh(now time.Time) (dirty bool) {
 	t.expireRoutes(now)
 	for _, svc := range t.services {
-		svc.expirePeers(now)
+		svc.expireSharingHosts(now)
 	}
 	for k, s := range t.servers {
 		if s.inFlight > 0 {
@@ -65,8 +65,8 @@
 // stateTTL is long enough for a failure belief to return to its stationary value.
 const stateTTL = 2 * time.Minute
 
-// failuresOf is the part of a report that the hosts of other data centres need: they do not share the
-// capacity of this one.
+// failuresOf is the part of a report that the hosts of other data centres need: they do not share
+// the capacity of this one.
 func failuresOf(row *peerpb.BackendLoad) *peerpb.BackendLoad {
 	return &peerpb.BackendLoad{Service: row.Service, Backend: row.Backend, Failed: row.Failed, Unreachable: row.Unreachable}
 }
@@ -162,8 +162,8 @@
 }
 
 // recordPeerInFlight updates what requests of another host a server has in flight. The expected
-// latency of the oldest is estimated from the load known to this host and the typical latency of the
-// service, since its route is not reported.
+// latency of the oldest is estimated from the load known to this host and the typical latency of
+// the service, since its route is not reported.
 func (t *Table) recordPeerInFlight(now time.Time, k key, s *server, p *peerLoad, l *peerpb.BackendLoad) {
 	oldest := now.Add(-time.Duration(l.OldestMs) * time.Millisecond)
 	began := p.inFlight == 0 || oldest.Sub(p.oldest) > newOldestThreshold
@@ -190,12 +190,12 @@
 	p.inFlight = n
 }
 
-// newOldestThreshold is how much later the oldest request of a host must have been sent to count as a
-// different one, because the delay of reports varies by some milliseconds.
+// newOldestThreshold is how much later the oldest request of a host must have been sent to count as
+// a different one, because the delay of reports varies by some milliseconds.
 const newOldestThreshold = 20 * time.Millisecond
 
-// maxOutcomesPerReport limits the outcomes taken from one datagram: more than that is a backlog whose
-// order and timing are unknown.
+// maxOutcomesPerReport limits the outcomes taken from one datagram: more than that is a backlog
+// whose order and timing are unknown.
 const maxOutcomesPerReport = 4
 
 func (s *server) recordPeerOutcomes(now time.Time, previous, current counts) {
--- a/internal/policy/restart_test.go
+++ b/internal/policy/restart_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A server whose process restarted under the same ID is a new server: belief, load, latency and path
-// backoff of the previous process are discarded, and its requests in flight say nothing about the new
-// one.
+// A server whose process restarted under the same ID is a new server: belief, load, latency and
+// path backoff of the previous process are discarded, and its requests in flight say nothing about
+// the new one.
 func TestRestartResetsServerState(t *testing.T) {
 	table, now := newTable()
 	v := view(2)
--- a/internal/policy/retries.go
+++ b/internal/policy/retries.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// RetryRule limits the requests that all hosts together send to a second server. The hosts of a data
-// centre share its part of the allowance, because each of them knows what the others have spent.
+// RetryRule limits the requests that all hosts together send to a second server. The hosts of a
+// data centre share its part of the allowance, because each of them knows what the others have
+// spent.
 type RetryRule struct {
 	// Share is the share of a service's requests in a window that may be retried, Reserve the
 	// number of further retries.
@@ -35,8 +36,8 @@
 	All int
 }
 
-// recordSend counts a request that is sent to a server.
-func (svc *service) recordSend(now time.Time, length time.Duration, s *server, req Request) {
+// recordAttempt counts a request that is sent to a server.
+func (svc *service) recordAttempt(now time.Time, length time.Duration, s *server, req Request) {
 	svc.dirty = true
 	switch {
 	case req.Repeat:
@@ -60,8 +61,8 @@
 	receivedAt time.Time
 }
 
-// recordPeerTotals counts what a host that shares the service's allowance did since its last report.
-// Each datagram carries the totals, so that the next one compensates for a lost one.
+// recordPeerTotals counts what a host that shares the service's allowance did since its last
+// report. Each datagram carries the totals, so that the next one compensates for a lost one.
 func (svc *service) recordPeerTotals(now time.Time, length time.Duration, host string, current counts) {
 	h, known := svc.sharingHosts[host]
 	if !known {
@@ -88,9 +89,9 @@
 	svc.limited.add(now, outcomeWindow, int(current.limited-previous.limited))
 }
 
-// expirePeers drops hosts that have not reported for long: they may have left, or share the
+// expireSharingHosts drops hosts that have not reported for long: they may have left, or share the
 // allowance of other hosts now.
-func (svc *service) expirePeers(now time.Time) {
+func (svc *service) expireSharingHosts(now time.Time) {
 	for host, h := range svc.sharingHosts {
 		if now.Sub(h.receivedAt) > stateTTL {
 			delete(svc.sharingHosts, host)
@@ -137,9 +138,9 @@
 	return retriesUsed{retries, rule.allowance(requests, reserve)}
 }
 
-// sharedSends sums the sends of this host and of the hosts that report to it in the last window. The
-// part of a host without recent reports is left to that host; otherwise a partitioned fleet would
-// spend its allowance more than once.
+// sharedSends sums the sends of this host and of the hosts that report to it in the last window.
+// The part of a host without recent reports is left to that host; otherwise a partitioned fleet
+// would spend its allowance more than once.
 func (svc *service) sharedSends(now time.Time, length time.Duration) (requests, retries, hosts int) {
 	requests, retries, hosts = svc.ownSends.requests.sum(now, length), svc.ownSends.retries.sum(now, length), 1
 	for _, h := range svc.sharingHosts {
--- a/internal/policy/routes.go
+++ b/internal/policy/routes.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// The work of the routes of one service may differ by a factor of a hundred, so that a single typical
-// latency would describe none of them. The expected latency of a request, and thereby whether it is
-// overdue, is derived from the answers to its own route. The slowness of a server is one value for
-// all routes.
+// The work of the routes of one service may differ by a factor of a hundred, so that a single
+// typical latency would describe none of them. The expected latency of a request, and thereby
+// whether it is overdue, is derived from the answers to its own route. The slowness of a server is
+// one value for all routes.
 const (
 	// minRouteWeight is the minimum weight of one answer in the moving averages of a route's
 	// latency and answer size; the first answers have a higher weight.
@@ -33,8 +33,8 @@
 	bytes          float64       // of the body
 }
 
-// record adds a good answer. The first answers are averaged with the typical latency of the service,
-// because any of them may be an outlier.
+// record adds a good answer. The first answers are averaged with the typical latency of the
+// service, because any of them may be an outlier.
 func (r *route) record(now time.Time, atIdle time.Duration, bytes float64) {
 	r.answers++
 	r.newestAt = now
--- a/internal/policy/routes_test.go
+++ b/internal/policy/routes_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Routes of one service differ in their work. The typical latency, and thereby what is overdue, depends
-// on the request's own route.
+// Routes of one service differ in their work. The typical latency, and thereby what is overdue,
+// depends on the request's own route.
 func TestLatencyIsTrackedPerRoute(t *testing.T) {
 	const short, long = 3 * time.Millisecond, 210 * time.Millisecond
 	table, now := newTable()
--- a/internal/policy/silence.go
+++ b/internal/policy/silence.go
@@ -7,13 +7,13 @@
 )
 
 // A failing server may leave requests unanswered. The failure then shows only when the time of a
-// request has run out, a second or more later, and all requests sent to the server meanwhile are lost
-// as well. An unanswered request therefore counts as evidence while it is still waiting, and the more
-// so the fewer answers of the service take that long. Its answer revokes the evidence, since this is
-// computed from the requests that are currently waiting and not stored.
+// request has run out, a second or more later, and all requests sent to the server meanwhile are
+// lost as well. An unanswered request therefore counts as evidence while it is still waiting, and
+// the more so the fewer answers of the service take that long. Its answer revokes the evidence,
+// since this is computed from the requests that are currently waiting and not stored.
 //
-// Hosts include the age of their oldest request in their reports, and each host computes the evidence
-// from that.
+// Hosts include the age of their oldest request in their reports, and each host computes the
+// evidence from that.
 const (
 	// maxUnansweredLogOdds limits the log odds from waiting requests (55 to 1): they may wait for
 	// a common cause, such as one long request ahead of them.
--- a/internal/policy/silence_test.go
+++ b/internal/policy/silence_test.go
@@ -26,19 +26,19 @@
 	return &world.ServiceView{Backends: v.Backends[i : i+1]}
 }
 
-// An unanswered request raises the failure belief of its server while it waits, at this host and at its
-// peers, and its answer reverts that.
+// An unanswered request raises the failure belief of its server while it waits, at this host and at
+// its peers, and its answer reverts that.
 func TestWaitingRequestIsEvidence(t *testing.T) {
 	table, now := newTable()
-	neighbour, _ := newTable()
+	peer, _ := newTable()
 	v := view(2)
 	warmUp(t, table, now, v)
-	warmUp(t, neighbour, now, v)
-	hung := mustPick(t, table, now, singleServer(v, 0), Request{First: true})
+	warmUp(t, peer, now, v)
+	waiting := mustPick(t, table, now, singleServer(v, 0), Request{First: true})
 	near, _ := table.Changes(now)
-	neighbour.Report(now, "h2", 1, near, true)
+	peer.Report(now, "h2", 1, near, true)
 	later := now.Add(4 * work)
-	for name, tab := range map[string]*Table{"the host": table, "its peer": neighbour} {
+	for name, tab := range map[string]*Table{"the host": table, "its peer": peer} {
 		svc, row := tab.service("s"), tab.servers[key{"s", "b0"}]
 		before, after := row.health.probabilityAt(later), row.belief(later, svc)
 		if after < 5*before || after < 0.3 {
@@ -48,10 +48,10 @@
 			t.Errorf("%s: belief %.3f after half of the typical latency", name, early)
 		}
 	}
-	table.Finish(later, hung, Done{Outcome: Good, FirstByte: 4 * work})
+	table.Finish(later, waiting, Done{Outcome: Good, FirstByte: 4 * work})
 	near, _ = table.Changes(later)
-	neighbour.Report(later, "h2", 1, near, true)
-	for name, tab := range map[string]*Table{"the host": table, "its peer": neighbour} {
+	peer.Report(later, "h2", 1, near, true)
+	for name, tab := range map[string]*Table{"the host": table, "its peer": peer} {
 		if belief := tab.servers[key{"s", "b0"}].belief(later, tab.service("s")); belief > 0.1 {
 			t.Errorf("%s: belief %.3f after the answer", name, belief)
 		}
@@ -61,17 +61,17 @@
 // The evidence of an abandoned request is kept, and reported to other hosts.
 func TestAbandonedRequestIsEvidence(t *testing.T) {
 	table, now := newTable()
-	neighbour, _ := newTable()
+	peer, _ := newTable()
 	v := view(1)
 	warmUp(t, table, now, v)
-	warmUp(t, neighbour, now, v)
+	warmUp(t, peer, now, v)
 	near, _ := table.Changes(now)
-	neighbour.Report(now, "h2", 1, near, true)
-	before := neighbour.servers[key{"s", "b0"}].health.probabilityAt(now)
+	peer.Report(now, "h2", 1, near, true)
+	before := peer.servers[key{"s", "b0"}].health.probabilityAt(now)
 	sendTo(t, table, now, v, "b0", Done{Outcome: Abandoned, Took: 4 * work})
 	near, _ = table.Changes(now)
-	neighbour.Report(now, "h2", 1, near, true)
-	for name, tab := range map[string]*Table{"the host": table, "its peer": neighbour} {
+	peer.Report(now, "h2", 1, near, true)
+	for name, tab := range map[string]*Table{"the host": table, "its peer": peer} {
 		if belief := tab.servers[key{"s", "b0"}].health.probabilityAt(now); belief < 5*before {
 			t.Errorf("%s: belief %.3f, %.3f before", name, belief, before)
 		}
@@ -103,8 +103,8 @@
 	}
 }
 
-// A copy is considered once most answers would have come, and sent if another server is expected to do
-// better than waiting, but not while the servers of the data centre are full.
+// A copy is considered once most answers would have come, and sent if another server is expected to
+// do better than waiting, but not while the servers of the data centre are full.
 func TestReview(t *testing.T) {
 	table, now := newTable()
 	now = now.Add(time.Minute)
@@ -133,8 +133,8 @@
 	}
 }
 
-// A request that no server can answer before its deadline is refused immediately; one with enough time
-// is not, nor is one whose latency is not known from recent answers.
+// A request that no server can answer before its deadline is refused immediately; one with enough
+// time is not, nor is one whose latency is not known from recent answers.
 func TestRequestThatCannotMeetDeadlineIsRefused(t *testing.T) {
 	table, now := newTable()
 	v := view(1)
@@ -171,8 +171,8 @@
 	}
 }
 
-// If the whole service is slow, waiting requests are caused by the load and are no evidence against a
-// server.
+// If the whole service is slow, waiting requests are caused by the load and are no evidence against
+// a server.
 func TestSlowServiceIsNoEvidence(t *testing.T) {
 	table, now := newTable()
 	v := view(1)
--- a/internal/policy/table.go
+++ b/internal/policy/table.go
@@ -126,8 +126,8 @@
 	priorities map[int]*window
 	// deadlines is the time allowed to requests, by route.
 	deadlines map[string]routeDeadline
-	// totals are this host's counts over all servers; peers holds the latest totals of the hosts
-	// that share the service's retry allowance.
+	// totals are this host's counts over all servers; sharingHosts holds the latest totals of the
+	// hosts that share the service's retry allowance.
 	totals        counts
 	sharingHosts  map[string]*peerTotals
 	dirty         bool
--- a/internal/policy/table_test.go
+++ b/internal/policy/table_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// A repeated or out-of-order report is not counted twice; the reports of a new incarnation of the host
-// are counted from zero.
+// A repeated or out-of-order report is not counted twice; the reports of a new incarnation of the
+// host are counted from zero.
 func TestReportsCountOnce(t *testing.T) {
 	table, now := newTable()
 	first := []*peerpb.BackendLoad{{Service: "s", Requests: 3, Retries: 1}}
@@ -109,8 +109,8 @@
 	}
 }
 
-// Requests in flight from another host of the data centre count against the capacity of a server, until
-// that host's reports expire.
+// Requests in flight from another host of the data centre count against the capacity of a server,
+// until that host's reports expire.
 func TestPeersRequestsFillServers(t *testing.T) {
 	table, now := newTable()
 	v := view(1)
@@ -147,8 +147,8 @@
 	}
 }
 
-// The allowance of hosts that do not report is left to them: a host without any reports is limited to
-// its own part of the requests and of the reserve.
+// The allowance of hosts that do not report is left to them: a host without any reports is limited
+// to its own part of the requests and of the reserve.
 func TestHostsWithoutReportsKeepTheirAllowance(t *testing.T) {
 	table, now := newTable()
 	table.conf.Retry = RetryRule{Share: 0.2, Reserve: 40, Window: 10 * time.Second}
@@ -191,8 +191,8 @@
 	}
 }
 
-// What another host counted before its first report to this one is outdated: only its newest failure is
-// used.
+// What another host counted before its first report to this one is outdated: only its newest
+// failure is used.
 func TestFirstReportCountsOnlyNewestFailure(t *testing.T) {
 	beliefAfter := func(failed uint64) float64 {
 		table, now := newTable()
@@ -205,9 +205,9 @@
 	}
 }
 
-// An error that comes after the typical work of a request is most likely caused by the request: one of
-// them must not divert requests from the server, several in a row must. A single immediate error must
-// as well.
+// An error that comes after the typical work of a request is most likely caused by the request: one
+// of them must not divert requests from the server, several in a row must. A single immediate error
+// must as well.
 func TestLateErrorsAreAttributedToRequests(t *testing.T) {
 	const work = 200 * time.Millisecond
 	beliefAfter := func(n int, took time.Duration) float64 {
@@ -249,8 +249,8 @@
 	}
 }
 
-// A request that is picked for again, because a server could not be reached, is counted once: each count
-// increases the retry allowance.
+// A request that is picked for again, because a server could not be reached, is counted once: each
+// count increases the retry allowance.
 func TestRepeatedPickCountsOnce(t *testing.T) {
 	table, now := newTable()
 	v := view(3)
@@ -279,9 +279,9 @@
 	}
 }
 
-// A host that has just started does not know what was spent before. It does not count the past requests
-// of other hosts as current, and spends only its own part of the allowance, however many requests the
-// others have.
+// A host that has just started does not know what was spent before. It does not count the past
+// requests of other hosts as current, and spends only its own part of the allowance, however many
+// requests the others have.
 func TestNewHostSpendsOnlyItsOwnAllowance(t *testing.T) {
 	table, now := newTable()
 	table.conf.Retry = RetryRule{Share: 0.2, Reserve: 20, Window: 10 * time.Second}
@@ -358,8 +358,8 @@
 	}
 }
 
-// If the servers of the own data centre fail, a small answer is fetched from another data centre, but a
-// large one is not.
+// If the servers of the own data centre fail, a small answer is fetched from another data centre,
+// but a large one is not.
 func TestLargeAnswersStayInTheDataCentre(t *testing.T) {
 	table, now := newTable()
 	v := view(2)
@@ -406,8 +406,9 @@
 	}
 }
 
-// Servers that a host finds when it starts may be failing, and so may one that enters its subset because
-// other hosts or servers joined or left. A server that joins has just started and is taken to be healthy.
+// Servers that a host finds when it starts may be failing, and so may one that enters its subset
+// because other hosts or servers joined or left. A server that joins has just started and is taken
+// to be healthy.
 func TestNewServersAreTrusted(t *testing.T) {
 	table, now := newTable()
 	sendTo(t, table, now, view(2), "b0", Done{Outcome: Neutral})
@@ -428,8 +429,9 @@
 	}
 }
 
-// An idempotent request that fails can be retried on another server while the retry allowance lasts. Once
-// it is spent, a failure costs as much as a lost request, so that the request avoids failing servers.
+// An idempotent request that fails can be retried on another server while the retry allowance
+// lasts. Once it is spent, a failure costs as much as a lost request, so that the request avoids
+// failing servers.
 func TestSpentAllowanceAvoidsFailingServers(t *testing.T) {
 	table, now := newTable()
 	table.conf.Retry = RetryRule{Share: 0, Reserve: 40, Window: 10 * time.Second}
@@ -460,22 +462,22 @@
 	}
 }
 
-// The load that a server reports to one host is forwarded to the others of the data centre: it includes
-// requests of other data centres, which no host of this one counts.
+// The load that a server reports to one host is forwarded to the others of the data centre: it
+// includes requests of other data centres, which no host of this one counts.
 func TestReportedLoadIsForwarded(t *testing.T) {
 	sender, now := newTable()
-	neighbour, _ := newTable()
+	peer, _ := newTable()
 	v := view(1)
 	sendTo(t, sender, now, v, "b0", Done{Outcome: Good, FirstByte: time.Millisecond, Load: &protocol.Load{Running: 3, Waiting: 6}})
 	near, _ := sender.Changes(now)
-	neighbour.Report(now, "h2", 1, near, true)
-	row := neighbour.servers[key{"s", "b0"}]
+	peer.Report(now, "h2", 1, near, true)
+	row := peer.servers[key{"s", "b0"}]
 	if load := row.load(now); load < 7 {
 		t.Errorf("load %.1f at the peer, want about 8 of the 9 reported", load)
 	}
 	sendTo(t, sender, now, v, "b0", Done{Outcome: Good, FirstByte: time.Millisecond})
 	near, _ = sender.Changes(now)
-	neighbour.Report(now.Add(5*reportedLoadHalfLife), "h2", 1, near, true)
+	peer.Report(now.Add(5*reportedLoadHalfLife), "h2", 1, near, true)
 	if load := row.load(now.Add(5 * reportedLoadHalfLife)); load > 1 {
 		t.Errorf("load %.1f later without another report of the server", load)
 	}
--- a/internal/policy/times.go
+++ b/internal/policy/times.go
@@ -7,9 +7,9 @@
 
 // The probability that a waiting request will still be answered depends on the spread of the
 // service's latencies: for some services nearly all answers have come after 1.5 times the typical
-// latency, for others a tenth come after 3 times that. The latencies are therefore recorded as ratios
-// to the latency that was expected when the request was sent, including the queue, so that one
-// distribution describes all servers of a service under any load.
+// latency, for others a tenth come after 3 times that. The latencies are therefore recorded as
+// ratios to the latency that was expected when the request was sent, including the queue, so that
+// one distribution describes all servers of a service under any load.
 const (
 	// ratioStep is the relative width of a bucket; with minRatio and ratioBuckets the range is
 	// 0.1 to 20 times the expected latency.
@@ -26,8 +26,8 @@
 	priorTail    = 0.02
 )
 
-// latencyDistribution is the distribution of the time to the header of a good answer, in units of the
-// latency expected when the request was sent.
+// latencyDistribution is the distribution of the time to the header of a good answer, in units of
+// the latency expected when the request was sent.
 type latencyDistribution struct {
 	weights [ratioBuckets]float64
 	// above is the sum of the weights of all higher buckets. It is precomputed because it is read
@@ -99,8 +99,8 @@
 	return minRatio * math.Pow(ratioStep, ratioBuckets)
 }
 
-// probabilityAfter is the probability that an answer with the given expected latency takes longer than
-// limit.
+// probabilityAfter is the probability that an answer with the given expected latency takes longer
+// than limit.
 func (t *latencyDistribution) probabilityAfter(limit, expected time.Duration) float64 {
 	if limit <= 0 {
 		return 1
--- a/internal/policy/trial.go
+++ b/internal/policy/trial.go
@@ -6,11 +6,11 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// A server believed to be failing must be tried from time to time: it may have recovered, and if all
-// servers fail at once the others must not be the only ones in use. A request sent there most likely
-// fails. So an idempotent request is sent to a healthy server and a copy of it to the failing one.
-// The first answer of the two is returned to the caller, and the outcome of the copy shows whether
-// the server has recovered.
+// A server believed to be failing must be tried from time to time: it may have recovered, and if
+// all servers fail at once the others must not be the only ones in use. A request sent there most
+// likely fails. So an idempotent request is sent to a healthy server and a copy of it to the
+// failing one. The first answer of the two is returned to the caller, and the outcome of the copy
+// shows whether the server has recovered.
 const (
 	// trialInterval is the time without a request after which a failing server is tried. No server
 	// may be out of use for 2 s, and a shorter interval sends more copies.
@@ -30,9 +30,9 @@
 	trialAllowance = 0.95
 )
 
-// Trial places a copy of an idempotent request on a server believed to be failing, if a trial is due
-// and enough of the retry allowance is left. req.Exclude lists the servers that have received the
-// request.
+// Trial places a copy of an idempotent request on a server believed to be failing, if a trial is
+// due and enough of the retry allowance is left. req.Exclude lists the servers that have received
+// the request.
 func (t *Table) Trial(now time.Time, view *world.ServiceView, req Request) (*Placement, bool) {
 	if !t.has(MechanismTrials) || !req.Idempotent || req.FirstBelief > maxFirstBelief {
 		return nil, false
@@ -53,8 +53,8 @@
 	return placement, true
 }
 
-// mostOverdueForTrial returns the failing server of this data centre that has been without a request
-// for longest.
+// mostOverdueForTrial returns the failing server of this data centre that has been without a
+// request for longest.
 func (t *Table) mostOverdueForTrial(now time.Time, svc *service, view *world.ServiceView, req Request) choice {
 	var best choice
 	servers := view.Candidates()
--- a/internal/policy/unused.go
+++ b/internal/policy/unused.go
@@ -46,8 +46,8 @@
 }
 
 // UseChanges checks the servers of req.DataCentre in this host's subset of a service, and returns
-// those that went out of use or are in use again since the last call. It returns none while there are
-// fewer requests than servers, because then some servers are necessarily out of use.
+// those that went out of use or are in use again since the last call. It returns none while there
+// are fewer requests than servers, because then some servers are necessarily out of use.
 func (t *Table) UseChanges(now time.Time, view *world.ServiceView, req Request) []UseChange {
 	svc, known := t.services[req.Service]
 	if !known || svc.recentRequests(now) < countLocalServers(view, req.DataCentre) {
--- a/internal/policy/unused_test.go
+++ b/internal/policy/unused_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// A server that gets no request for 2 s is reported once, with the reason, and once more when it gets a
-// request again. The other servers stay in use.
+// A server that gets no request for 2 s is reported once, with the reason, and once more when it
+// gets a request again. The other servers stay in use.
 func TestServersOutOfUseAreReported(t *testing.T) {
 	good := Done{Outcome: Good, FirstByte: 100 * time.Millisecond}
 	cases := map[string]struct {
