--- a/internal/policy/retries.go
+++ b/internal/policy/retries.go
@@ -36,7 +36,7 @@
 	All int
 }
 
-// recordAttempt counts a request that is sent to a server.
+// recordAttempt counts a send to a server, as a request or as a retry, for the retry allowance.
 func (svc *service) recordAttempt(now time.Time, length time.Duration, s *server, req Request) {
 	svc.dirty = true
 	switch {
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -126,7 +126,7 @@
 mutant "no copies of writes" internal/dispatch/copies.go 's/ \&\& x.req.Idempotent \&\& / \&\& /' ./e2e -ginkgo.focus "no second copy"
 mutant "usual times by route" internal/policy/routes.go 's/ok \&\& r.answers > 0 \&\& /ok \&\& false \&\& /' ./internal/policy
 mutant "hopeless requests" internal/policy/admission.go 's/missedDeadlineThreshold = 0.9/missedDeadlineThreshold = 2.0/' ./internal/policy
-mutant "standing queue" internal/policy/admission.go 's/standingShare = 0.5/standingShare = 2.0/' ./experiment/replay -run StandingQueue
+mutant "standing queue" internal/policy/admission.go 's/standingShare  *= 0.5/standingShare = 2.0/' ./experiment/replay -run StandingQueue
 mutant "less urgent make room" internal/policy/admission.go 's/lowPriorityFactor = 0.5/lowPriorityFactor = 1.0/' ./experiment/replay -run Priorities
 mutant "time is over" internal/dispatch/exchange.go 's/ \&\& x.broken < maxBroken \&\& ctx.Err() == nil {/ \&\& !isCallerGone(ctx) {/' ./platform -run TimeOver
 mutant "signature" internal/dispatch/judge.go 's/marks.Signature != ""/marks.Signature == "-"/' ./platform -run Idempotent
