--- a/internal/policy/report.go
+++ b/internal/policy/report.go
@@ -80,12 +80,12 @@
 	return row
 }
 
-// Report applies a report of another host. life identifies that host's incarnation. near is set if
-// that host reports all its requests to this one; only then are its in-flight counts used.
-func (t *Table) Report(now time.Time, host string, life uint64, loads []*peerpb.BackendLoad, near bool) {
-	t.resetOnRestart(host, life)
+// Report applies a report of one incarnation of another host. isPeer is set if that host reports all
+// its requests to this one; only then are its in-flight counts used.
+func (t *Table) Report(now time.Time, host string, incarnation uint64, loads []*peerpb.BackendLoad, isPeer bool) {
+	t.resetOnRestart(host, incarnation)
 	for _, l := range loads {
-		t.applyReport(now, host, l, near)
+		t.applyReport(now, host, l, isPeer)
 	}
 }
 
@@ -107,9 +107,9 @@
 	}
 }
 
-func (t *Table) applyReport(now time.Time, host string, l *peerpb.BackendLoad, near bool) {
+func (t *Table) applyReport(now time.Time, host string, l *peerpb.BackendLoad, isPeer bool) {
 	if l.Backend == "" {
-		if near {
+		if isPeer {
 			t.service(l.Service).recordPeerTotals(now, t.conf.Retry.Window, host, countsFrom(l))
 		}
 		return
@@ -131,12 +131,12 @@
 	if t.has(MechanismOutcomes) {
 		s.recordPeerOutcomes(now, p.counts, next)
 	}
-	if near {
+	if isPeer {
 		t.service(l.Service).recordPeerUse(now, s, p, next, !known)
 	}
 	p.counts = next
 	p.at = now
-	if near && t.has(MechanismLoads) {
+	if isPeer && t.has(MechanismLoads) {
 		t.recordPeerInFlight(now, k, s, p, l)
 		if l.ToldLoad > 0 {
 			s.recordReportedLoad(now, int(l.ToldLoad)-1)
--- a/internal/policy/table_test.go
+++ b/internal/policy/table_test.go
@@ -397,12 +397,12 @@
 	v := view(2)
 	sendTo(t, table, now, v, "b0", Done{Outcome: Good, FirstByte: time.Millisecond})
 	sendTo(t, table, now, v, "b1", Done{Outcome: Failed})
-	near, far := table.Changes(now)
-	if len(near) != 3 || len(far) != 1 || far[0].Backend != "b1" || far[0].Failed != 1 || far[0].Requests != 0 {
-		t.Errorf("near %v, far %v", near, far)
+	near, failures := table.Changes(now)
+	if len(near) != 3 || len(failures) != 1 || failures[0].Backend != "b1" || failures[0].Failed != 1 || failures[0].Requests != 0 {
+		t.Errorf("near %v, far %v", near, failures)
 	}
-	if near, far = table.Changes(now); len(near)+len(far) != 0 {
-		t.Errorf("sent again without a change: %v, %v", near, far)
+	if near, failures = table.Changes(now); len(near)+len(failures) != 0 {
+		t.Errorf("sent again without a change: %v, %v", near, failures)
 	}
 }
 
--- a/internal/policy/unused_test.go
+++ b/internal/policy/unused_test.go
@@ -36,13 +36,13 @@
 	good := Done{Outcome: Good, FirstByte: 100 * time.Millisecond}
 	cases := map[string]struct {
 		last Done // outcome on the server that goes out of use
-		said map[string]protocol.ServerState
+		reports map[string]protocol.ServerState
 		why  WhyUnused
 	}{
 		"believed to be failing":     {last: Done{Outcome: Failed}, why: UnusedBelief},
 		"no objection":               {last: good, why: UnusedNoObjection},
-		"asked for rest":             {last: good, said: map[string]protocol.ServerState{"b0": {Rest: time.Minute}}, why: "resting"},
-		"reports that it is leaving": {last: good, said: map[string]protocol.ServerState{"b0": {Leaving: true}}, why: "leaving"},
+		"asked for rest":             {last: good, reports: map[string]protocol.ServerState{"b0": {Rest: time.Minute}}, why: "resting"},
+		"reports that it is leaving": {last: good, reports: map[string]protocol.ServerState{"b0": {Leaving: true}}, why: "leaving"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -59,7 +59,7 @@
 				sendTo(t, table, now, v, "b2", good)
 			}
 			now = now.Add(time.Millisecond)
-			req := Request{Availability: reportedStates(now, c.said)}
+			req := Request{Availability: reportedStates(now, c.reports)}
 			expectUseChange(t, table, now, req, UseChange{Server: "b0", Why: c.why})
 			expectNoUseChange(t, table, now)
 			sendTo(t, table, now, v, "b0", good)
