--- a/internal/policy/unused_test.go
+++ b/internal/policy/unused_test.go
@@ -35,9 +35,9 @@
 func TestServersOutOfUseAreReported(t *testing.T) {
 	good := Done{Outcome: Good, FirstByte: 100 * time.Millisecond}
 	cases := map[string]struct {
-		last Done // outcome on the server that goes out of use
+		last    Done // outcome on the server that goes out of use
 		reports map[string]protocol.ServerState
-		why  WhyUnused
+		why     WhyUnused
 	}{
 		"believed to be failing":     {last: Done{Outcome: Failed}, why: UnusedBelief},
 		"no objection":               {last: good, why: UnusedNoObjection},
