--- a/internal/policy/outcome.go
+++ b/internal/policy/outcome.go
@@ -6,66 +6,68 @@
 	"github.com/pearshelf/pearshelf/internal/protocol"
 )
 
-// What a request's end says of its server depends on its time: an error at once is
-// the server's, one after the request's work most likely the request's own, and a
-// connection that had been idle may have been forgotten.
+// What the end of a request says about its server depends on the timing: an immediate error is
+// caused by the server, one that comes after the work of the request most likely by the request
+// itself, and a connection that had been idle may have been dropped by the server.
 
-// QuickErrorShare of a server's usual time ends what counts as an error at once: it lies
-// between the errors of servers in a spell and those after a request's work.
+// QuickErrorShare is the share of a server's typical latency up to which an error counts as
+// immediate. It lies between the latency of errors of failing servers and that of errors which come
+// after the work of a request.
 const QuickErrorShare = 0.12
 
-// Outcome is what became of one request at a backend server.
+// Outcome is the result of one request on a backend server.
 type Outcome int
 
-// Outcomes.
+// Outcomes of a request.
 const (
-	// Good: a whole answer that is no error of the server.
+	// Good is a complete answer that is not a server error.
 	Good Outcome = iota
-	// Failed: an error, a reset, a wrong, cut or missing answer.
+	// Failed is an error, a connection reset, or a wrong, truncated or missing answer.
 	Failed
-	// lateError: an error after the usual time of a request's work. The table
-	// tells it from Failed itself.
+	// lateError is an error that came after the typical work of a request. Finish distinguishes
+	// it from Failed.
 	lateError
-	// staleConnection: a connection that had been idle broke as soon as a request
-	// was sent on it. The table tells it from Failed itself.
+	// staleConnection is a previously idle connection that broke as soon as a request was sent on
+	// it. Finish distinguishes it from Failed.
 	staleConnection
-	// Unreachable: no connection could be made.
+	// Unreachable means that no connection could be established.
 	Unreachable
-	// Shed: the server refused the request for lack of room.
+	// Shed means that the server refused the request for lack of capacity.
 	Shed
-	// Abandoned: given up without an answer, because another server's copy won or
-	// the caller went away.
+	// Abandoned means that the request was given up without an answer, because the other copy was
+	// answered first or the caller disconnected.
 	Abandoned
-	// Neutral: nothing was learnt.
+	// Neutral means that nothing was learned about the server.
 	Neutral
 )
 
-// Done is the end of one request that Pick gave a server.
+// Done describes the end of a request that Pick placed on a server.
 type Done struct {
 	Outcome Outcome
-	// FirstByte is the time to the header of an answer, 0 if there was none.
+	// FirstByte is the time to the header of the answer, 0 if there was none.
 	FirstByte time.Duration
-	// Load is what the server told, nil if nothing.
+	// Load is the load that the server reported, nil if it reported none.
 	Load *protocol.Load
-	// Bytes is the size of a good answer's body.
+	// Bytes is the size of the body of a good answer.
 	Bytes int64
-	// Reused is whether a failed request was sent on a connection that had been
-	// used before, and Took the time until it broke or was given up.
+	// Reused is set if a failed request was sent on a connection that had been used before. Took
+	// is the time until the request failed or was abandoned.
 	Reused bool
 	Took   time.Duration
-	// Unsent is set where no byte of the request reached the server.
+	// Unsent is set if no byte of the request reached the server.
 	Unsent bool
-	// TimedOut is set for a failed request that had no answer when its time was over.
+	// TimedOut is set for a failed request that had no answer when its time ran out.
 	TimedOut bool
-	// slowness is FirstByte against what is usual for the route and the queue, late
-	// whether the answer came after the objective.
+	// slowness is the ratio of FirstByte to what is typical for the route and the queue. late is
+	// set if the answer came after the objective.
 	slowness float64
 	late     bool
-	// silence is the evidence, in log odds, of the time that it waited in vain.
-	silence float64
+	// unansweredLogOdds is the evidence, in log odds, of the time that the request went unanswered.
+	unansweredLogOdds float64
 }
 
-// Finish ends a request that Pick placed. It must be called once a placement.
+// Finish records the end of a request that Pick placed. It must be called exactly once per
+// placement.
 func (t *Table) Finish(now time.Time, p *Placement, done Done) {
 	s, ok := t.servers[p.key]
 	if !ok {
@@ -73,102 +75,102 @@
 	}
 	svc := t.service(p.key.service)
 	svc.dirty = true
-	if p.process != s.process { // says nothing of the process that has the ID now
+	if p.process != s.process { // says nothing about the current process
 		svc.totals.add(done)
-		svc.noteOutcome(now, done)
+		svc.recordOutcome(now, done)
 		return
 	}
 	s.inFlight--
 	s.removePending(p.pending)
 	s.dirty = true
 	if done.Unsent {
-		s.takeBackUse(p.use)
+		s.undoUse(p.use)
 	}
-	done.slowness = float64(done.FirstByte) / float64(p.pending.atUsual)
+	done.slowness = float64(done.FirstByte) / float64(p.pending.atTypicalSpeed)
 	done.late = now.After(p.objectiveAt)
 	if done.TimedOut || done.Outcome == Abandoned {
-		done.silence = svc.silenceOf(done.Took, p.pending.expected)
+		done.unansweredLogOdds = svc.requestLogOdds(done.Took, p.pending.expected)
 	}
 	done.Outcome = classify(p, done)
 	if done.Outcome == staleConnection {
-		svc.staleAt = now
+		svc.staleConnectionAt = now
 	}
 	if done.Outcome == Failed {
-		svc.learnFailure(done.TimedOut)
+		svc.recordFailure(done.TimedOut)
 	}
-	s.learnOutcome(now, done)
+	s.applyOutcome(now, done)
 	svc.totals.add(done)
-	svc.noteOutcome(now, done)
+	svc.recordOutcome(now, done)
 	if done.Outcome == Good && done.FirstByte > 0 {
-		t.learnTimes(now, s, svc, p, done)
+		t.recordLatency(now, s, svc, p, done)
 	}
-	if done.Load != nil && t.has(MechanismToldLoad) {
+	if done.Load != nil && t.has(MechanismReportedLoad) {
 		load := done.Load.Running + done.Load.Waiting
-		s.learnLoad(now, load)
-		s.toldNow = uint32(load) + 1
+		s.recordReportedLoad(now, load)
+		s.loadToForward = uint32(load) + 1
 	}
 }
 
-// classify tells outcomes apart by their time.
+// classify distinguishes outcomes by their timing.
 func classify(p *Placement, done Done) Outcome {
 	switch {
-	case done.TimedOut && done.silence < overdue:
-		return Abandoned // it had too little time to say much
-	case done.Outcome == Failed && done.FirstByte > quickError(p):
+	case done.TimedOut && done.unansweredLogOdds < overdueLogOdds:
+		return Abandoned // too little time to be evidence
+	case done.Outcome == Failed && done.FirstByte > fastErrorLimit(p):
 		return lateError
-	case done.Outcome == Failed && done.Reused && done.Took < quickError(p):
+	case done.Outcome == Failed && done.Reused && done.Took < fastErrorLimit(p):
 		return staleConnection
 	default:
 		return done.Outcome
 	}
 }
 
-// learnTimes takes the time of a good answer.
-func (t *Table) learnTimes(now time.Time, s *server, svc *service, p *Placement, done Done) {
-	svc.times.add(float64(done.FirstByte) / float64(p.pending.expected))
-	s.learnSlowness(done.slowness)
+// recordLatency updates the latency statistics with a good answer.
+func (t *Table) recordLatency(now time.Time, s *server, svc *service, p *Placement, done Done) {
+	svc.latencies.add(float64(done.FirstByte) / float64(p.pending.expected))
+	s.recordSlowness(done.slowness)
 	atIdle := time.Duration(done.slowness * float64(p.pending.work))
-	t.route(svc, p.group).learn(now, atIdle, float64(done.Bytes))
-	svc.usual += time.Duration(serviceGain * float64(atIdle-svc.usual))
+	t.route(svc, p.group).record(now, atIdle, float64(done.Bytes))
+	svc.typicalLatency += time.Duration(serviceLatencyWeight * float64(atIdle-svc.typicalLatency))
 }
 
-// learnOutcome takes an outcome.
-func (s *server) learnOutcome(now time.Time, done Done) {
+// applyOutcome updates the server's state with an outcome of this host.
+func (s *server) applyOutcome(now time.Time, done Done) {
 	s.counts.add(done)
 	switch done.Outcome {
 	case Good:
-		s.spell.good(now)
+		s.health.observeSuccess(now)
 		s.pathFailures = 0
 		s.pathUntil = time.Time{}
 	case Abandoned:
-		s.counts.silentMillinats += uint64(1000 * max(done.silence, 0))
-		s.learnSilence(now, done.silence)
+		s.counts.silentMillinats += uint64(1000 * max(done.unansweredLogOdds, 0))
+		s.recordUnanswered(now, done.unansweredLogOdds)
 	case Failed:
-		s.spell.failed(now)
+		s.health.observeFailure(now)
 		s.failedAt = now
-		s.failing = true
+		s.failureUnsent = true
 	case lateError, staleConnection:
-		s.spell.lateError(now)
+		s.health.observeLateError(now)
 	case Unreachable:
-		s.spell.unreachable(now)
-		s.failing = true
-		hold := pathHold << min(s.pathFailures, 8)
+		s.health.observeUnreachable(now)
+		s.failureUnsent = true
+		backoff := pathBackoff << min(s.pathFailures, 8)
 		s.pathFailures++
-		s.pathUntil = now.Add(min(hold, maxPathHold))
+		s.pathUntil = now.Add(min(backoff, maxPathBackoff))
 	}
 }
 
-// learnSilence takes the evidence of a request that was given up unanswered.
-func (s *server) learnSilence(now time.Time, silence float64) {
-	s.spell.silent(now, silence)
-	if silence > overdue {
+// recordUnanswered adds the evidence of a request that was abandoned without an answer.
+func (s *server) recordUnanswered(now time.Time, logOdds float64) {
+	s.health.observeUnanswered(now, logOdds)
+	if logOdds > overdueLogOdds {
 		s.failedAt = now
 	}
 }
 
-// quickError is the time up to which an error comes too soon to be the
-// request's own: the server did not work on it. Servers in a spell of failures
-// answer errors at once; an error that belongs to a request takes its work.
-func quickError(p *Placement) time.Duration {
+// fastErrorLimit is the latency up to which an error cannot be the result of the request's own
+// work. Failing servers return errors immediately; an error caused by a request takes the time of
+// its work.
+func fastErrorLimit(p *Placement) time.Duration {
 	return time.Duration(QuickErrorShare * float64(p.pending.work) * p.pending.slowness)
 }
--- a/internal/policy/restart_test.go
+++ b/internal/policy/restart_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// A server whose process started again under its ID is a new one: no belief, load, time or
-// blocked path of the earlier process holds, and what was in flight there says nothing of
+// A server whose process restarted under the same ID is a new server: belief, load, latency and
+// path backoff of the previous process are discarded, and its requests in flight say nothing about
 // the new one.
-func TestRestartUnderTheSameIDForgetsTheServer(t *testing.T) {
+func TestRestartResetsServerState(t *testing.T) {
 	table, now := newTable()
 	v := view(2)
 	v.Backends[0].Started, v.Backends[1].Started = 1000, 1000
 	for range 3 {
-		use(t, table, now, v, "b0", Done{Outcome: Failed, FirstByte: time.Millisecond})
+		sendTo(t, table, now, v, "b0", Done{Outcome: Failed, FirstByte: time.Millisecond})
 	}
-	use(t, table, now, v, "b0", Done{Outcome: Unreachable})
+	sendTo(t, table, now, v, "b0", Done{Outcome: Unreachable})
 	v.Backends = v.Backends[:1]
 	table.servers[key{"s", "b0"}].pathUntil = time.Time{}
 	inFlight := mustPick(t, table, now, v, Request{First: true})
@@ -28,10 +28,10 @@
 	placed := mustPick(t, table, now, v, Request{First: true})
 	row := table.servers[key{"s", "b0"}]
 	if placed.Load != 0 || row.inFlight != 1 {
-		t.Errorf("load %.1f when picked, %d in flight: the earlier process's request counts", placed.Load, row.inFlight)
+		t.Errorf("load %.1f when picked, %d in flight: the previous process's request counts", placed.Load, row.inFlight)
 	}
-	if placed.Belief > 2*newServer || !row.failedAt.IsZero() || row.pathFailures != 0 || row.slowness != 1 {
-		t.Errorf("belief %.2f, %+v: the earlier process's failures count", placed.Belief, row)
+	if placed.Belief > 2*newServerBelief || !row.failedAt.IsZero() || row.pathFailures != 0 || row.slowness != 1 {
+		t.Errorf("belief %.2f, %+v: the previous process's failures count", placed.Belief, row)
 	}
 	if !row.coldUntil.Equal(now.Add(time.Second)) {
 		t.Errorf("cold until %s", row.coldUntil.Sub(now))
@@ -39,7 +39,7 @@
 
 	table.Finish(now, inFlight, Done{Outcome: Failed, FirstByte: time.Millisecond})
 	if row.inFlight != 1 || !row.failedAt.IsZero() || row.counts.failed != before.failed {
-		t.Errorf("%d in flight, %d failed: the end of the earlier process's request counts", row.inFlight, row.counts.failed)
+		t.Errorf("%d in flight, %d failed: the end of the previous process's request counts", row.inFlight, row.counts.failed)
 	}
 	table.Finish(now, placed, Done{Outcome: Good, FirstByte: time.Millisecond})
 	if row.inFlight != 0 || row.counts.good != before.good+1 {
@@ -47,21 +47,21 @@
 	}
 }
 
-// An entry that does not say when its process started is no restart.
-func TestUnknownStartIsNoRestart(t *testing.T) {
+// An entry without the start time of the process does not count as a restart.
+func TestUnknownStartTimeIsNoRestart(t *testing.T) {
 	table, now := newTable()
 	v := view(1)
 	for _, started := range []int64{0, 1000, 0, 1000} {
 		v.Backends[0].Started = started
-		use(t, table, now, v, "b0", Done{Outcome: Failed, FirstByte: time.Millisecond})
+		sendTo(t, table, now, v, "b0", Done{Outcome: Failed, FirstByte: time.Millisecond})
 	}
 	if row := table.servers[key{"s", "b0"}]; row.process != 0 || row.counts.failed != 4 {
 		t.Errorf("%d processes, %d failures", row.process+1, row.counts.failed)
 	}
 }
 
-// An idempotent request at a process that is gone is worth a copy at once.
-func TestRequestOfAnEarlierProcessIsLost(t *testing.T) {
+// An idempotent request that was sent to a replaced process is worth a copy immediately.
+func TestRequestToReplacedProcessIsLost(t *testing.T) {
 	table, now := newTable()
 	v := view(2)
 	v.Backends[0].Started = 1000
@@ -69,13 +69,13 @@
 	req := Request{Service: "s", DataCentre: "dc1", Idempotent: true, First: true, Asked: now, Deadline: now.Add(3 * time.Second), Objective: time.Second}
 	waiting := mustPick(t, table, now, v, req)
 	svc := table.service("s")
-	if loss := table.lossWaiting(now, svc, req, waiting); loss > 0.5 {
+	if loss := table.lossIfWaiting(now, svc, req, waiting); loss > 0.5 {
 		t.Errorf("loss %.2f before the restart", loss)
 	}
 	again := view(1)
 	again.Backends[0].Started = 2000
-	table.row(now, key{"s", "b0"}, &again.Backends[0])
-	if loss := table.lossWaiting(now, svc, req, waiting); loss != 1 {
+	table.state(now, key{"s", "b0"}, &again.Backends[0])
+	if loss := table.lossIfWaiting(now, svc, req, waiting); loss != 1 {
 		t.Errorf("loss %.2f after the restart", loss)
 	}
 }
--- a/internal/policy/retries.go
+++ b/internal/policy/retries.go
@@ -2,124 +2,123 @@
 
 import "time"
 
-// RetryRule bounds the requests that all hosts together send to a second
-// server. The hosts of a data centre share what falls to them, because each
-// knows what the others spent.
+// RetryRule limits the requests that all hosts together send to a second server. The hosts of a
+// data centre share its part of the allowance, because each of them knows what the others have
+// spent.
 type RetryRule struct {
-	// Share is the part of a service's requests that may be sent again in a
-	// window, Reserve how many more.
+	// Share is the share of a service's requests in a window that may be retried, Reserve the
+	// number of further retries.
 	Share   float64
 	Reserve float64
 	// Window is the length of the sliding window.
 	Window time.Duration
 }
 
-// DefaultRetryRule is for a fleet without an allowance of its own.
+// DefaultRetryRule is used if the fleet does not configure a retry allowance.
 func DefaultRetryRule() RetryRule {
 	return RetryRule{Share: 0.1, Reserve: 10, Window: 10 * time.Second}
 }
 
 const (
-	// retrySafety is the part of the allowance that is spent: reports may be
-	// lost, and hosts may decide at the same moment.
+	// retrySafety is the part of the allowance that is actually used, because reports may be lost
+	// and hosts may decide concurrently.
 	retrySafety = 0.75
-	// heardFor is how long a host counts as heard of a service after a report. At two
-	// requests a second one host in 400 has nothing to tell for so long.
-	heardFor = 3 * time.Second
+	// peerTotalsTTL is how long the totals of a host are used after its last report. At two
+	// requests a second, one host in 400 has nothing to report for that long.
+	peerTotalsTTL = 3 * time.Second
 )
 
-// Fleet is how many hosts there are.
+// Fleet is the size of the fleet.
 type Fleet struct {
-	// Near are the live hosts of this data centre, this one included.
+	// Near is the number of live hosts of this data centre, including this one.
 	Near int
-	// All is the most hosts that were ever live at a time.
+	// All is the largest number of hosts that were ever live at the same time.
 	All int
 }
 
-// noteSent counts a request that is sent to a server.
-func (svc *service) noteSent(now time.Time, length time.Duration, s *server, req Request) {
+// recordAttempt counts a send to a server, as a request or as a retry, for the retry allowance.
+func (svc *service) recordAttempt(now time.Time, length time.Duration, s *server, req Request) {
 	svc.dirty = true
 	switch {
 	case req.Repeat:
 		s.counts.retries++
 		svc.totals.retries++
-		svc.own.retries.add(now, length, 1)
+		svc.ownSends.retries.add(now, length, 1)
 	case req.First:
 		s.counts.requests++
 		svc.totals.requests++
-		svc.own.requests.add(now, length, 1)
+		svc.ownSends.requests.add(now, length, 1)
 	}
 }
 
-// sent is what one host sent to a service's servers in the last window of RetryRule.
-type sent struct{ requests, retries window }
+// sendCounts counts what one host sent to a service's servers in the last window of RetryRule.
+type sendCounts struct{ requests, retries window }
 
-// nearHost is what a host that shares the allowance of a service last told of it.
-type nearHost struct {
-	counts counts
-	sent   sent
-	heard  time.Time
+// peerTotals is the latest report of a host that shares a service's retry allowance.
+type peerTotals struct {
+	counts     counts
+	sends      sendCounts
+	receivedAt time.Time
 }
 
-// learnNear counts what a host that shares the service's allowance did since its last
-// report. Each datagram brings the totals, so that the next one makes up for a lost one.
-func (svc *service) learnNear(now time.Time, length time.Duration, host string, is counts) {
-	h, known := svc.near[host]
+// recordPeerTotals counts what a host that shares the service's allowance did since its last
+// report. Each datagram carries the totals, so that the next one compensates for a lost one.
+func (svc *service) recordPeerTotals(now time.Time, length time.Duration, host string, current counts) {
+	h, known := svc.sharingHosts[host]
 	if !known {
-		h = &nearHost{}
-		svc.near[host] = h
+		h = &peerTotals{}
+		svc.sharingHosts[host] = h
 	}
-	was := h.counts
-	if is.before(was) {
-		return // an older datagram that came late
+	previous := h.counts
+	if current.isOlderThan(previous) {
+		return // a datagram that arrived out of order
 	}
-	h.counts = is
-	h.heard = now
-	if !known && is.requests+is.retries > maxNews {
-		return // what was before this host heard of it is long past
+	h.counts = current
+	h.receivedAt = now
+	if !known && current.requests+current.retries > maxOutcomesPerReport {
+		return // the totals predate the first report to this host
 	}
-	if is.staleConnections > was.staleConnections {
-		svc.staleAt = now
+	if current.staleConnections > previous.staleConnections {
+		svc.staleConnectionAt = now
 	}
-	h.sent.requests.add(now, length, int(is.requests-was.requests))
-	h.sent.retries.add(now, length, int(is.retries-was.retries))
-	svc.served.add(now, troubleWindow, int(is.good-was.good))
-	svc.late.add(now, troubleWindow, int(is.late-was.late))
-	svc.unserved.add(now, troubleWindow, int(is.unserved()-was.unserved()))
-	svc.limited.add(now, troubleWindow, int(is.limited-was.limited))
+	h.sends.requests.add(now, length, int(current.requests-previous.requests))
+	h.sends.retries.add(now, length, int(current.retries-previous.retries))
+	svc.served.add(now, outcomeWindow, int(current.good-previous.good))
+	svc.late.add(now, outcomeWindow, int(current.late-previous.late))
+	svc.unserved.add(now, outcomeWindow, int(current.unserved()-previous.unserved()))
+	svc.limited.add(now, outcomeWindow, int(current.limited-previous.limited))
 }
 
-// forgetNear drops hosts that have not been heard for long: they may be gone, or share
-// with others now.
-func (svc *service) forgetNear(now time.Time) {
-	for host, h := range svc.near {
-		if now.Sub(h.heard) > forgetAfter {
-			delete(svc.near, host)
+// expireSharingHosts drops hosts that have not reported for long: they may have left, or share the
+// allowance of other hosts now.
+func (svc *service) expireSharingHosts(now time.Time) {
+	for host, h := range svc.sharingHosts {
+		if now.Sub(h.receivedAt) > stateTTL {
+			delete(svc.sharingHosts, host)
 		}
 	}
 }
 
-// AllowRetry reports whether a request of a service may be sent again.
+// AllowRetry reports whether a request of a service may be retried.
 func (t *Table) AllowRetry(now time.Time, name string, fleet Fleet) bool {
 	return t.retriesUsed(now, name, fleet).allowsOne()
 }
 
-// spentAllowance is the part of the retry allowance that is spent, 0 to 1.
+// spentAllowance is the share of the retry allowance that is spent, 0 to 1.
 func (t *Table) spentAllowance(now time.Time, name string, fleet Fleet) float64 {
 	return t.retriesUsed(now, name, fleet).spent()
 }
 
-// retriesUsed is how many requests were sent again in the last window, and how
-// many may be.
+// retriesUsed is the number of retries in the last window and the number allowed.
 type retriesUsed struct {
 	retries   int
 	allowance float64
 }
 
-// allowsOne reports whether one more may be sent; one in a window always is.
+// allowsOne reports whether another retry is allowed; one per window always is.
 func (u retriesUsed) allowsOne() bool { return float64(u.retries+1) <= max(u.allowance, 1) }
 
-// spent is the part of the allowance that is spent, 0 to 1.
+// spent is the share of the allowance that is spent, 0 to 1.
 func (u retriesUsed) spent() float64 { return min(float64(u.retries)/max(u.allowance, 1), 1) }
 
 func (t *Table) retriesUsed(now time.Time, name string, fleet Fleet) retriesUsed {
@@ -127,34 +126,34 @@
 	rule := t.conf.Retry
 	all := float64(max(fleet.All, fleet.Near, 1))
 	age := now.Sub(t.started)
-	if age < rule.Window && t.has(MechanismYoungHosts) {
-		// A young host does not know what the others spent before its start, and
-		// may have spent itself before it was killed: it keeps to its own part, and
-		// its reserve grows with its age.
+	if age < rule.Window && t.has(MechanismNewHosts) {
+		// A new host does not know what the others spent before it started, nor what
+		// it spent itself before a crash: it is limited to its own part of the
+		// allowance, and its reserve grows with its age.
 		reserve := rule.Reserve / all * age.Seconds() / rule.Window.Seconds()
-		return retriesUsed{svc.own.retries.sum(now, rule.Window), rule.allowance(svc.own.requests.sum(now, rule.Window), reserve)}
+		return retriesUsed{svc.ownSends.retries.sum(now, rule.Window), rule.allowance(svc.ownSends.requests.sum(now, rule.Window), reserve)}
 	}
-	requests, retries, hosts := svc.shared(now, rule.Window)
+	requests, retries, hosts := svc.sharedSends(now, rule.Window)
 	reserve := rule.Reserve * float64(min(hosts, max(fleet.Near, 1))) / all
 	return retriesUsed{retries, rule.allowance(requests, reserve)}
 }
 
-// shared sums what this host and those that it hears sent in the last window. What a
-// host is due that is not heard is that host's own to spend: else a fleet that is cut
-// apart spends its allowance more than once.
-func (svc *service) shared(now time.Time, length time.Duration) (requests, retries, hosts int) {
-	requests, retries, hosts = svc.own.requests.sum(now, length), svc.own.retries.sum(now, length), 1
-	for _, h := range svc.near {
-		if now.Sub(h.heard) < heardFor {
-			requests += h.sent.requests.sum(now, length)
-			retries += h.sent.retries.sum(now, length)
+// sharedSends sums the sends of this host and of the hosts that report to it in the last window.
+// The part of a host without recent reports is left to that host; otherwise a partitioned fleet
+// would spend its allowance more than once.
+func (svc *service) sharedSends(now time.Time, length time.Duration) (requests, retries, hosts int) {
+	requests, retries, hosts = svc.ownSends.requests.sum(now, length), svc.ownSends.retries.sum(now, length), 1
+	for _, h := range svc.sharingHosts {
+		if now.Sub(h.receivedAt) < peerTotalsTTL {
+			requests += h.sends.requests.sum(now, length)
+			retries += h.sends.retries.sum(now, length)
 			hosts++
 		}
 	}
 	return requests, retries, hosts
 }
 
-// allowance is the safe part of a share of the requests and a reserve.
+// allowance is the number of retries allowed for a number of requests and a reserve.
 func (r RetryRule) allowance(requests int, reserve float64) float64 {
 	return retrySafety * (r.Share*float64(requests) + reserve)
 }
--- a/internal/policy/window_test.go
+++ b/internal/policy/window_test.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// The newest part of a window holds what came lately, and no older round of
-// its buckets.
-func TestNewestPartOfAWindow(t *testing.T) {
+// The newest buckets of a window contain only recent events, and none of a previous cycle.
+func TestWindowNewestBuckets(t *testing.T) {
 	const length = 2 * time.Second
 	now := time.Now()
 	var w window
@@ -22,30 +21,30 @@
 		t.Errorf("%d in the newest half, want about 20", half)
 	}
 	if late := w.newest(end.Add(length), length, windowBuckets/2); late != 0 {
-		t.Errorf("%d left after a quiet time, want 0", late)
+		t.Errorf("%d left after a time without events, want 0", late)
 	}
 }
 
-// A service with many requests is in trouble as soon as the newest second shows it.
-func TestTroubleShowsInASecond(t *testing.T) {
+// A service with many requests counts as degraded as soon as the last second shows it.
+func TestDegradationIsDetectedWithinASecond(t *testing.T) {
 	var svc service
 	now := time.Now()
 	for i := range 300 { // 2 s at 150 requests a second, all served
-		svc.served.add(now.Add(time.Duration(i)*time.Second/150), troubleWindow, 1)
+		svc.served.add(now.Add(time.Duration(i)*time.Second/150), outcomeWindow, 1)
 	}
 	now = now.Add(2 * time.Second)
-	if svc.troubled(now) {
-		t.Fatal("in trouble although all were served")
+	if svc.isDegraded(now) {
+		t.Fatal("degraded although all requests were served")
 	}
 	for i := range 120 { // 0.8 s in which one in ten is not
 		at := now.Add(time.Duration(i) * time.Second / 150)
 		if i%10 == 0 {
-			svc.unserved.add(at, troubleWindow, 1)
+			svc.unserved.add(at, outcomeWindow, 1)
 		} else {
-			svc.served.add(at, troubleWindow, 1)
+			svc.served.add(at, outcomeWindow, 1)
 		}
 	}
-	if !svc.troubled(now.Add(800 * time.Millisecond)) {
-		t.Error("not in trouble although one in ten was unserved for 0.8 s")
+	if !svc.isDegraded(now.Add(800 * time.Millisecond)) {
+		t.Error("not degraded although one in ten requests was unserved for 0.8 s")
 	}
 }
