--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine runs the control loop of a host: it owns the world, takes
-// inputs, runs the systems each tick, publishes the snapshot for the request
-// path and hands what the tick wants done to its effects. Step is pure but for
-// the effects, so tests drive it with a clock of their own.
+// Package engine runs the control loop of a host. It owns the world state,
+// processes inputs, runs the systems on each tick, publishes the snapshot read
+// by the request path and passes the resulting actions to Effects. Apart from
+// those effects Step is deterministic, so tests can drive it with a fake clock.
 package engine
 
 import (
@@ -27,60 +27,61 @@
 )
 
 const (
-	// ReadyAfter is how long a new host waits for an answer from peers before
-	// it goes by what the platform says alone.
+	// ReadyAfter is how long a new host waits for a response from its peers
+	// before it relies on the platform alone.
 	ReadyAfter = 3 * time.Second
-	// SettleAfter is how long a new host that knows of others takes its list of
-	// hosts for incomplete.
+	// SettleAfter is how long a new host that knows of other hosts treats its
+	// host list as incomplete.
 	SettleAfter = 1 * time.Second
 )
 
-// Effects does what a tick wants done. Calls must not block.
+// Effects carries out the actions requested by a tick. Calls must not block.
 type Effects interface {
 	Send(packets []membership.Packet)
 	Fetch(f world.Fetch)
 	Probe(p world.Probe)
 	SyncWith(address string)
 	Event(e event.Event)
-	// Reading says whether this host should watch the platform.
+	// Reading sets whether this host should watch the platform.
 	Reading(reader bool)
-	// StopRequested is called each tick while an operator's stop of this host
-	// is in force.
+	// StopRequested is called on each tick while an operator's stop directive
+	// for this host is in force.
 	StopRequested()
-	// Ticked reports the duration of a tick.
+	// Ticked is called after each scheduled tick with its duration.
 	Ticked(d time.Duration, w *world.World)
 }
 
-// Config of an Engine.
+// Config configures an Engine.
 type Config struct {
 	Self world.Identity
-	// Tick is the interval of the systems.
+	// Tick is the interval at which the systems run.
 	Tick time.Duration
-	// Freshness is the pause after which the view is no longer trusted.
+	// Freshness is the longest pause of the process after which the view is
+	// still trusted.
 	Freshness  time.Duration
 	Membership membership.Config
-	// Seeds are addresses of other hosts.
+	// Seeds are the addresses of hosts to contact at start-up.
 	Seeds []string
-	// Forwarding is whether requests go through owner hosts, which then share
-	// the slots of backend servers among them.
+	// Forwarding is whether requests are forwarded to owner hosts, which divide
+	// the slots of the backend servers among themselves.
 	Forwarding bool
-	// Documents are the platform's documents that a host must hold, nil for the
-	// product's own index and list of hosts.
+	// Documents are the keys of the platform documents that a host requires. If
+	// nil, it uses the built-in index and host list.
 	Documents []string
-	// DirectAfter and DirectSpread: see configsync.Config.
+	// DirectAfter and DirectSpread are passed to configsync.Config.
 	DirectAfter  time.Duration
 	DirectSpread time.Duration
-	// Seed of all random choices.
+	// Seed seeds all random choices.
 	Seed uint64
-	// Suspended returns for how long the machine has been suspended since it booted, nil
-	// for package boottime's.
+	// Suspended returns the total time that the machine has been suspended since
+	// boot. It defaults to boottime.Suspended.
 	Suspended func() time.Duration
-	// BeforeTick, if set, is called before each tick. Tests hold it to freeze a
-	// host.
+	// BeforeTick, if set, is called before each scheduled tick. Tests block in
+	// it to freeze a host.
 	BeforeTick func()
 }
 
-// Engine is one host's control loop.
+// Engine is the control loop of a host.
 type Engine struct {
 	conf    Config
 	clock   *hlc.Clock
@@ -98,17 +99,17 @@
 	snapshot atomic.Pointer[world.Snapshot]
 
 	lastTick  time.Time
-	wokeAt    time.Time // end of the last pause, zero if the view is fresh
-	synced    bool      // a peer has answered a full comparison
+	wokeAt    time.Time // end of the last pause; zero if the view is fresh
+	synced    bool      // a peer has completed a full state sync
 	ready     bool
-	whenReady chan struct{} // closed once this host is ready
-	known     []string      // addresses of other hosts, as of this tick
-	// joinedHosts have joined since the last tick.
+	whenReady chan struct{} // closed when this host becomes ready
+	known     []string      // addresses of other hosts, as of the current tick
+	// joinedHosts are the hosts that have joined since the last tick.
 	joinedHosts []string
-	headTold    bool // another host has told of a revision since the last tick
+	headTold    bool // another host has announced a document revision since the last tick
 }
 
-// New returns an engine that starts at now.
+// New returns an engine whose start time is now.
 func New(conf Config, clock *hlc.Clock, effects Effects, now time.Time) *Engine {
 	e := &Engine{
 		conf:      conf,
@@ -131,7 +132,7 @@
 	if conf.Documents != nil {
 		e.world.Required = conf.Documents
 		e.world.Polled = conf.Documents
-		e.world.ActiveReaders = 1 // others stand in for it
+		e.world.ActiveReaders = 1 // other hosts take over if it fails
 	}
 	e.documents = configsync.New(now, configsync.Config{
 		Seed:         conf.Seed,
@@ -141,7 +142,7 @@
 		StandIn:      conf.Documents != nil,
 	})
 	e.systems = []world.System{placement.System{}, e.documents}
-	if conf.Forwarding { // else the balancer judges servers
+	if conf.Forwarding { // otherwise the balancer judges the backend servers
 		e.systems = append(e.systems, e.detection)
 	}
 	e.systems = append(e.systems, rotation.System{})
@@ -153,7 +154,7 @@
 	return e
 }
 
-// Snapshot returns the newest view.
+// Snapshot returns the latest published snapshot.
 func (e *Engine) Snapshot() *world.Snapshot { return e.snapshot.Load() }
 
 // Step runs one tick.
@@ -179,8 +180,8 @@
 	e.publish(now)
 }
 
-// noticePause marks the view stale when this process did not run for long, and
-// fresh again once another host has been heard since.
+// noticePause marks the view stale if this process has not run for longer than
+// Freshness, and fresh again once another host has been heard from since.
 func (e *Engine) noticePause(now time.Time) {
 	suspended := e.conf.Suspended()
 	slept := suspended - e.world.Suspended
@@ -189,8 +190,8 @@
 	e.world.Suspended = suspended
 	if pause > e.conf.Freshness {
 		e.wokeAt = now
-		e.world.FreshUntil = now.Add(-time.Nanosecond) // by the steady clock it may lie ahead
-		e.world.Record(now, event.HostPaused, "", "", pause.Round(time.Millisecond).String()+", of it suspended "+slept.Round(time.Millisecond).String())
+		e.world.FreshUntil = now.Add(-time.Nanosecond) // by the monotonic clock it may still lie in the future
+		e.world.Record(now, event.HostPaused, "", "", pause.Round(time.Millisecond).String()+", including suspended time of "+slept.Round(time.Millisecond).String())
 	}
 	if e.wokeAt.IsZero() {
 		return
@@ -202,8 +203,8 @@
 	}
 }
 
-// stopRequested reports whether an operator has asked this process, not a
-// predecessor of the same name, to stop.
+// stopRequested reports whether an operator has asked this process to stop.
+// Directives issued to an earlier process with the same host name are ignored.
 func (e *Engine) stopRequested() bool {
 	r, ok := e.world.Registers.Get(directive.Key(directive.KindStop, e.conf.Self.Host))
 	return ok && r.Stamp.Clock > uint64(hlc.FromTime(e.world.StartedAt))
@@ -215,7 +216,7 @@
 	}
 }
 
-// touched marks the rows that a changed register concerns.
+// touched marks the state affected by a changed register for rebuilding.
 func (e *Engine) touched(r *peerpb.Register) {
 	if configsync.IsHead(r) {
 		e.headTold = true
@@ -295,7 +296,7 @@
 	w := e.world
 	if !e.ready && e.isReady(now) {
 		e.ready = true
-		defer close(e.whenReady) // after the snapshot that says so
+		defer close(e.whenReady) // after the snapshot with Ready set is published
 		w.Record(now, event.HostReady, "", "", "")
 	}
 	if e.wokeAt.IsZero() {
@@ -308,17 +309,17 @@
 	return (e.joined(now) || e.conf.Documents != nil) && configsync.Current(e.world)
 }
 
-// settled reports whether the list of hosts may be taken for whole.
+// settled reports whether the host list may be considered complete.
 func (e *Engine) settled(now time.Time) bool {
 	return len(e.known) == 0 || e.joined(now) && now.Sub(e.world.StartedAt) >= SettleAfter
 }
 
-// joined reports whether a peer has answered, or none is to be waited for.
+// joined reports whether a peer has answered, or there is none to wait for.
 func (e *Engine) joined(now time.Time) bool {
 	return e.synced || len(e.known) == 0 || now.Sub(e.world.StartedAt) > ReadyAfter
 }
 
-// WhenReady is closed once a configuration is in force.
+// WhenReady returns a channel that is closed once a configuration is in force.
 func (e *Engine) WhenReady() <-chan struct{} { return e.whenReady }
 
 // Ready reports whether a configuration is in force.
--- a/internal/engine/inputs.go
+++ b/internal/engine/inputs.go
@@ -13,15 +13,15 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// The methods of this file run on the loop's goroutine: call them from an
-// input given to Post, or before Run.
+// The methods in this file must run on the loop's goroutine: call them from an
+// input passed to Post, or before Run.
 
-// Observe takes outcomes of this host's own requests.
+// Observe records the outcomes of requests sent by this host.
 func (e *Engine) Observe(now time.Time, batch []*peerpb.Observation) {
 	e.detection.Observe(e.world, now, batch)
 }
 
-// Datagram takes a datagram that came from an address.
+// Datagram handles a datagram received from address.
 func (e *Engine) Datagram(now time.Time, address string, d *peerpb.Datagram) {
 	e.clock.Observe(now, hlc.Timestamp(d.Clock))
 	e.mergeRegisters(now, d.Registers)
@@ -34,7 +34,7 @@
 	e.effects.Send(e.members.Receive(now, address, d))
 }
 
-// Document takes a document from the platform or a peer.
+// Document handles a document received from the platform or a peer.
 func (e *Engine) Document(now time.Time, key string, revision uint64, raw []byte) {
 	configsync.Accept(e.world, now, key, revision, raw)
 	if e.world.ServicesChanged {
@@ -42,22 +42,22 @@
 	}
 }
 
-// FetchedNothing notes that a fetch of a document ended without it.
+// FetchedNothing records that a fetch ended without returning the document.
 func (e *Engine) FetchedNothing(now time.Time, key string) {
 	configsync.FetchedNothing(e.world, now, key)
 }
 
-// PlatformAnswered notes that the platform has answered this host's watch.
+// PlatformAnswered records that the platform has answered this host's watch.
 func (e *Engine) PlatformAnswered(now time.Time) { e.documents.Answered(e.world, now) }
 
-// Write stores a register of this host's and passes it on.
+// Write stamps and stores a register written by this host and gossips it.
 func (e *Engine) Write(now time.Time, r *peerpb.Register) {
 	e.world.Write(now, r)
 	e.touched(r)
 }
 
-// Announce stores a register of this host's and tells it to all live hosts at once, instead
-// of by gossip alone.
+// Announce writes a register like Write, and also sends it directly to all live hosts
+// instead of relying on gossip alone.
 func (e *Engine) Announce(now time.Time, r *peerpb.Register) {
 	e.Write(now, r)
 	var all []string
@@ -69,16 +69,16 @@
 	e.world.Out.Urgent = append(e.world.Out.Urgent, world.Urgent{To: all, Register: r})
 }
 
-// Record adds an event of this host's.
+// Record adds an event to this host's timeline.
 func (e *Engine) Record(now time.Time, n event.Number, service, detail string) {
 	e.world.Record(now, n, service, "", detail)
 }
 
-// mergeRegisters takes registers from another host and passes on the new ones.
+// mergeRegisters merges registers from another host and gossips those that changed.
 func (e *Engine) mergeRegisters(now time.Time, registers []*peerpb.Register) {
 	for _, r := range registers {
 		if !e.clock.Observe(now, hlc.Timestamp(r.GetStamp().GetClock())) {
-			e.world.Record(now, event.RegisterFuture, "", "", fmt.Sprintf("%s from %s is ahead of this host's clock", r.Key, r.Stamp.Host))
+			e.world.Record(now, event.RegisterFuture, "", "", fmt.Sprintf("timestamp of register %s from %s is too far ahead of this host's clock", r.Key, r.Stamp.Host))
 			continue
 		}
 		if !e.world.Registers.Merge(now, r) {
@@ -107,7 +107,7 @@
 	return service
 }
 
-// State returns what a full comparison sends.
+// State returns this host's complete state for a full sync.
 func (e *Engine) State(now time.Time) *peerpb.SyncRequest {
 	return &peerpb.SyncRequest{
 		From:      e.conf.Self.Host,
@@ -118,10 +118,10 @@
 	}
 }
 
-// Digest identifies members and registers: equal states have equal digests.
+// Digest returns a digest of members and registers: equal states have equal digests.
 func (e *Engine) Digest() uint64 { return e.world.Registers.Digest() ^ e.members.Digest() }
 
-// Merge takes the full state of another host.
+// Merge merges the complete state of another host.
 func (e *Engine) Merge(now time.Time, members []*peerpb.Member, registers []*peerpb.Register, clock uint64) {
 	e.clock.Observe(now, hlc.Timestamp(clock))
 	e.members.Merge(now, members)
@@ -129,8 +129,9 @@
 	e.members.Heard(now)
 }
 
-// AnswerSync answers a host that compares full states. That host first asks with its
-// digest, and if states differ gets this one's and then gives its own.
+// AnswerSync handles a full sync request from another host. The other host first sends
+// its digest. If the states differ, it gets this host's state in the response and then
+// sends its own in a second request.
 func (e *Engine) AnswerSync(now time.Time, req *peerpb.SyncRequest) *peerpb.SyncResponse {
 	switch {
 	case len(req.Members) > 0:
@@ -145,8 +146,8 @@
 	}
 }
 
-// AnswerDocument answers a host that asks for a document newer than it holds. coming is
-// set if this host has none but is fetching it.
+// AnswerDocument handles another host's request for a document newer than the one it
+// holds. coming is set if this host has no such document yet but is fetching it.
 func (e *Engine) AnswerDocument(now time.Time, req *peerpb.DocumentRequest) (resp *peerpb.DocumentResponse, coming bool, err error) {
 	doc, ok := e.world.Documents[req.Key]
 	if !ok {
@@ -156,16 +157,16 @@
 	return resp, len(resp.GetDocument()) == 0 && now.Before(doc.Fetching), err
 }
 
-// Synced notes that a peer has answered a full comparison.
+// Synced records that a full state sync with a peer has completed.
 func (e *Engine) Synced() { e.synced = true }
 
-// SetLeaving starts a planned stop, Leave ends it.
+// SetLeaving starts a planned stop; Leave completes it.
 func (e *Engine) SetLeaving(now time.Time) {
 	e.world.Leaving = true
 	e.members.SetLeaving(now)
 }
 
-// Leave announces that this host is gone and returns once it is sent.
+// Leave announces that this host has left and returns once the announcement is sent.
 func (e *Engine) Leave(now time.Time) {
 	e.members.Leave(now)
 	for range leaveDatagrams {
@@ -176,7 +177,7 @@
 
 const leaveDatagrams = 3
 
-// MemberChanged mirrors a membership row into the host table.
+// MemberChanged copies a changed member into the host table.
 func (e *Engine) MemberChanged(now time.Time, m, was *peerpb.Member) {
 	if e.world == nil {
 		return
@@ -190,7 +191,8 @@
 	e.recordMember(now, m, was)
 }
 
-// markAllDirty rebuilds every view, as when an owner's address changed.
+// markAllDirty requests a rebuild of every service view, for instance after an owner's
+// address has changed.
 func (e *Engine) markAllDirty() {
 	for _, svc := range e.world.Services {
 		svc.Dirty = true
@@ -214,11 +216,11 @@
 	e.world.Record(now, numbers[m.Liveness], "", "", m.Host)
 }
 
-// maxNamed is how many hosts one event names.
+// maxNamed is the maximum number of hosts named in one event.
 const maxNamed = 4
 
-// recordJoined tells of the hosts that have joined since the last tick in one event: at a start
-// of all each host hears of all others within seconds.
+// recordJoined records the hosts that have joined since the last tick as a single event:
+// when the whole fleet starts, each host discovers all others within seconds.
 func (e *Engine) recordJoined(now time.Time) {
 	joined := e.joinedHosts
 	if len(joined) == 0 {
@@ -232,9 +234,9 @@
 	e.world.Record(now, event.MemberJoined, "", "", detail)
 }
 
-// Refuted records that this host denied a report of its own death.
+// Refuted records that this host has refuted a report that it is dead.
 func (e *Engine) Refuted(now time.Time) {
-	e.world.Record(now, event.MemberRefuted, "", "", "another host held this one for dead")
+	e.world.Record(now, event.MemberRefuted, "", "", "another host reported this host as dead")
 }
 
 func hostRow(m *peerpb.Member) *world.Host {
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// calmTicks is how many times the interval a calm host waits between two ticks, to wake up
-	// less often. Its view is trusted for a second, and others take over from a reader after
-	// 1.25 s.
+	// calmTicks is the factor by which an idle host extends its tick interval to reduce
+	// wake-ups. The extended interval must stay well below the freshness of the view (1 s)
+	// and the time after which other hosts take over from a silent reader (1.25 s).
 	calmTicks = 3
 
-	// inboxSize is how many inputs may wait for the loop.
+	// inboxSize is the maximum number of inputs queued for the loop.
 	inboxSize = 4096
 )
 
-// Run ticks until ctx ends.
+// Run processes inputs and ticks until ctx is done.
 func (e *Engine) Run(ctx context.Context) {
 	timer := time.NewTimer(e.conf.Tick)
 	defer timer.Stop()
@@ -45,8 +45,8 @@
 	}
 }
 
-// interval is the time from one tick to the next: longer where nothing is under way,
-// because on hosts with a small part of a core each wake-up counts.
+// interval returns the time until the next tick. It is longer while the host is idle,
+// because wake-ups are costly on hosts that have only a fraction of a CPU core.
 func (e *Engine) interval() time.Duration {
 	if e.calm() {
 		return calmTicks * e.conf.Tick
@@ -54,15 +54,16 @@
 	return e.conf.Tick
 }
 
-// calm reports whether nothing waits for the next tick: what calls for one at once is
-// in urgent, and all else that goes by time allows for calmTicks.
+// calm reports whether no work is waiting for the next tick. Inputs that need an
+// immediate tick are covered by urgent, and all other timers tolerate a delay of
+// calmTicks intervals.
 func (e *Engine) calm() bool {
 	return e.ready && e.wokeAt.IsZero() && !e.world.Leaving && !e.conf.Forwarding &&
 		e.world.Settled && !configsync.Active(e.world, e.lastTick) && e.members.Calm()
 }
 
-// Input gives an input to the loop, and ticks at once where it asks for it. It belongs
-// to the loop's goroutine.
+// Input runs an input and ticks immediately if the input requires it. It must be called
+// on the loop's goroutine.
 func (e *Engine) Input(now time.Time, input func(now time.Time)) {
 	input(now)
 	if e.urgent() {
@@ -70,21 +71,21 @@
 	}
 }
 
-// urgent reports whether an input asks for a tick at once: a document is to be
-// fetched, told of or put into force. A change passes three hosts, and would
-// wait for a tick on each.
+// urgent reports whether pending work requires an immediate tick, such as a document
+// to fetch, announce or apply. A change propagates over three hosts and would
+// otherwise wait for a tick on each of them.
 func (e *Engine) urgent() bool {
 	w := e.world
 	if w.QuarantineChanged {
-		return true // each arrival until then may end a server
+		return true // any matching request accepted until then may crash a backend server
 	}
 	if w.RateLimitsChanged {
-		return true // hosts that do not know a limit send beyond it
+		return true // hosts that do not know the limit yet exceed it
 	}
 	return e.conf.Documents != nil && (len(w.Out.Fetches) > 0 || w.HeadsChanged || w.ServicesChanged || e.headTold)
 }
 
-// Post queues an input; it reports false if the inbox is full.
+// Post queues an input for the loop. It returns false if the inbox is full.
 func (e *Engine) Post(input func(now time.Time)) bool {
 	select {
 	case e.inbox <- input:
@@ -94,11 +95,11 @@
 	}
 }
 
-// Do runs read on the loop's goroutine and waits for it. An error means that read has not run
-// and never will: what it writes may be used once Do has returned.
+// Do runs read on the loop's goroutine and waits for it to finish. An error means that read
+// has not run and never will, so variables that it writes are safe to use once Do returns.
 func (e *Engine) Do(ctx context.Context, read func(w *world.World, now time.Time)) error {
 	done := make(chan struct{})
-	var taken atomic.Bool // by the loop, or by the caller who has given up
+	var taken atomic.Bool // set by the loop when it starts read, or by Do when ctx is done
 	input := func(now time.Time) {
 		if !taken.CompareAndSwap(false, true) {
 			return
