--- a/internal/engine/do_test.go
+++ b/internal/engine/do_test.go
@@ -9,8 +9,8 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// A caller of Do that gives up may read what its function writes: the function must not run
-// afterwards. One that has begun by then is waited for.
+// After Do has returned an error, its caller may read variables that the function writes, so
+// the function must not run later. Do must wait for a function that has already started.
 func TestDoThatIsGivenUp(t *testing.T) {
 	e := newEngine()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -21,16 +21,16 @@
 	}()
 	cancel()
 	if err := <-gaveUp; err == nil {
-		t.Fatal("done, though the loop does not run")
+		t.Fatal("Do succeeded although the loop is not running")
 	}
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
 	go e.Run(running)
-	if err := e.Do(running, func(*world.World, time.Time) {}); err != nil { // behind the one that was given up
+	if err := e.Do(running, func(*world.World, time.Time) {}); err != nil { // queued behind the cancelled one
 		t.Fatal(err)
 	}
 	if ran.Load() {
-		t.Error("the function ran after its caller had given up")
+		t.Error("the function ran after Do had been cancelled")
 	}
 
 	ctx, cancel = context.WithCancel(context.Background())
@@ -47,6 +47,6 @@
 		written = 1
 	})
 	if err != nil || written != 1 {
-		t.Errorf("returned %v with %d written: it had begun", err, written)
+		t.Errorf("Do returned %v with %d written, want nil and 1 for a function that had started", err, written)
 	}
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -17,7 +17,7 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// ignored are effects that do nothing.
+// ignored implements engine.Effects and does nothing.
 type ignored struct{}
 
 func (ignored) Send([]membership.Packet)           {}
@@ -40,8 +40,8 @@
 	}, &hlc.Clock{}, ignored{}, epoch)
 }
 
-// A new host that a stale platform has given an old revision is not ready while
-// peers have announced a newer one.
+// A new host that got an old revision from a stale platform must not become ready
+// while its peers have announced a newer one.
 func TestNotReadyBelowAnAnnouncedRevision(t *testing.T) {
 	e := newEngine()
 	head, err := proto.Marshal(&peerpb.Head{Key: "services/main", Revision: 9, Holder: "h2"})
@@ -56,16 +56,16 @@
 	e.Document(epoch, "services/main", 1, []byte("services: []\n"))
 	e.Step(epoch.Add(100 * time.Millisecond))
 	if e.Ready() {
-		t.Fatal("ready with revision 1 of 9")
+		t.Fatal("ready with revision 1 although revision 9 was announced")
 	}
 	e.Document(epoch, "services/main", 9, []byte("services: []\n"))
 	e.Step(epoch.Add(200 * time.Millisecond))
 	if !e.Ready() {
-		t.Fatal("not ready with the newest revision")
+		t.Fatal("not ready with the announced revision")
 	}
 }
 
-// After a pause the view is stale until another host has been heard.
+// After a pause of the process, the view must be stale until another host has been heard from.
 func TestPauseMakesTheViewStale(t *testing.T) {
 	e := newEngine()
 	now := epoch
@@ -76,22 +76,22 @@
 	e.Merge(now, []*peerpb.Member{{Host: "h2", Address: "10.0.0.2:1", DataCentre: "dc1", Incarnation: 1}}, nil, 0)
 	step(100 * time.Millisecond)
 	if !e.Snapshot().FreshUntil.After(now) {
-		t.Fatal("stale without a pause")
+		t.Fatal("view is stale without a pause")
 	}
 	step(5 * time.Second)
 	step(100 * time.Millisecond)
 	if e.Snapshot().FreshUntil.After(now) {
-		t.Fatal("fresh right after a pause")
+		t.Fatal("view is fresh right after a pause")
 	}
 	e.Datagram(now.Add(time.Millisecond), "10.0.0.2:1", &peerpb.Datagram{From: "h2"})
 	step(100 * time.Millisecond)
 	if !e.Snapshot().FreshUntil.After(now) {
-		t.Fatal("stale although another host was heard")
+		t.Fatal("view is stale although another host was heard from")
 	}
 }
 
-// While a machine is suspended the steady clock stands still, and the time of day may be
-// set back at the same moment: neither shows the pause, CLOCK_BOOTTIME does.
+// While a machine is suspended the monotonic clock stands still, and the wall clock may be
+// set back at the same time. Neither then shows the pause; only CLOCK_BOOTTIME does.
 func TestSuspensionMakesTheViewStale(t *testing.T) {
 	for _, slept := range []time.Duration{3 * time.Second, time.Minute} {
 		suspended := 5 * time.Hour
@@ -100,22 +100,22 @@
 		now := epoch.Add(100 * time.Millisecond)
 		e.Step(now)
 		if !e.Snapshot().Fresh(now, suspended) {
-			t.Fatal("a view is stale at once")
+			t.Fatal("new view is stale")
 		}
 		suspended += slept
 		now = now.Add(100 * time.Millisecond)
 		if e.Snapshot().Fresh(now, suspended) {
-			t.Errorf("the view of before %s is fresh", slept)
+			t.Errorf("view from before a suspension of %s is fresh", slept)
 		}
 		e.Step(now)
 		if e.Snapshot().Fresh(now, suspended) {
-			t.Errorf("the view is fresh after %s, before another host was heard", slept)
+			t.Errorf("view is fresh after a suspension of %s before another host was heard from", slept)
 		}
 		later := now.Add(200 * time.Millisecond)
 		e.Datagram(later, "10.0.0.2:1", &peerpb.Datagram{Kind: peerpb.Datagram_KIND_GOSSIP, From: "h2"})
 		e.Step(later.Add(100 * time.Millisecond))
 		if !e.Snapshot().Fresh(later.Add(200*time.Millisecond), suspended) {
-			t.Errorf("the view is stale after %s although another host was heard", slept)
+			t.Errorf("view is stale after a suspension of %s although another host was heard from", slept)
 		}
 	}
 }
--- a/internal/engine/fuzz_test.go
+++ b/internal/engine/fuzz_test.go
@@ -15,7 +15,7 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// FuzzDatagram looks for a message of another host that ends every host which reads it.
+// FuzzDatagram searches for a message that crashes the hosts that receive it.
 func FuzzDatagram(f *testing.F) {
 	for _, d := range []*peerpb.Datagram{
 		{Kind: peerpb.Datagram_KIND_PING, From: "h2", Sequence: 1, Target: "h3"},
@@ -45,7 +45,7 @@
 	})
 }
 
-// receiveApart gives a message to the tables that take theirs without the control loop.
+// receiveApart passes a message to the tables that are updated outside the control loop.
 func receiveApart(d *peerpb.Datagram) {
 	loads := policy.NewTable(epoch, policy.Config{Cost: policy.DefaultCostRule(), Random: rand.New(rand.NewPCG(1, 1)), Retry: policy.RetryRule{Share: 0.2, Window: 10 * time.Second}})
 	loads.Report(epoch, d.From, d.Life, d.Loads, d.Near)
@@ -59,7 +59,7 @@
 	ends.Tick(epoch.Add(time.Second))
 }
 
-// FuzzDocument looks for a document that ends every host which reads it.
+// FuzzDocument searches for a document that crashes the hosts that read it.
 func FuzzDocument(f *testing.F) {
 	f.Add(world.KeyIndex, []byte("shards: {main: 1}\n"))
 	f.Add("services/main", []byte("services: [{name: shop, routes: [{path: /shop}], backends: [{id: b1, address: '10.0.0.1:80'}]}]\n"))
--- a/internal/engine/servers_test.go
+++ b/internal/engine/servers_test.go
@@ -15,14 +15,14 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// directHost is a host that picks servers by itself.
+// directHost is a host that picks backend servers itself instead of forwarding to owners.
 type directHost struct {
 	*engine.Engine
 	t       testing.TB
 	fetches fetchCollector
 }
 
-// fetchCollector keeps the fetches that a tick wants.
+// fetchCollector records the fetches requested by ticks.
 type fetchCollector struct {
 	ignored
 	fetches []world.Fetch
@@ -30,10 +30,10 @@
 
 func (f *fetchCollector) Fetch(fetch world.Fetch) { f.fetches = append(f.fetches, fetch) }
 
-// otherHosts is how many hosts a direct host knows.
+// otherHosts is the number of other hosts that a directHost knows.
 const otherHosts = 99
 
-// newDirectHost returns a host that knows registered servers of three data centres.
+// newDirectHost returns a host that knows registered servers in three data centres.
 func newDirectHost(t testing.TB, servers int) *directHost {
 	t.Helper()
 	h := &directHost{t: t}
@@ -69,7 +69,7 @@
 	}}
 }
 
-// deliver gives the host a list of servers and runs a tick.
+// deliver passes a server list to the host, runs a tick and checks that the list is in force.
 func (h *directHost) deliver(revision uint64, list *config.Discovered) {
 	h.t.Helper()
 	h.document(revision, list)
@@ -88,7 +88,7 @@
 	h.Step(epoch)
 }
 
-// dataCentres returns those of the servers that may get requests.
+// dataCentres returns the data centres that have servers in rotation, comma-separated.
 func (h *directHost) dataCentres() string {
 	found := make(map[string]bool)
 	for _, b := range h.Snapshot().Services["shop"].Backends {
@@ -103,8 +103,8 @@
 	return strings.Join(names, ",")
 }
 
-// Servers of a data centre that is evacuated get nothing until that is taken back, whatever else
-// changes meanwhile.
+// Servers of an evacuated data centre must stay out of rotation until the evacuation ends,
+// whatever else changes in the meantime.
 func TestEvacuatedServersAreOutOfRotation(t *testing.T) {
 	h := newDirectHost(t, 9)
 	steps := []struct {
@@ -126,25 +126,26 @@
 	}
 }
 
-// A host whose change does not fit asks for the whole list, serves on by what it has, and takes
-// the list also under the revision that it holds.
+// A host that cannot apply a change requests the complete list, continues with the servers that
+// it has, and accepts the complete list even under the revision that it already holds.
 func TestWholeListIsAskedFor(t *testing.T) {
 	h := newDirectHost(t, 9)
 	h.document(6, &config.Discovered{Base: 5, Removed: []string{registered(1, 1).ID}})
 	fetches := h.fetches.fetches
 	if len(fetches) != 1 || fetches[0].Key != world.KeyDiscovered || fetches[0].After != 0 {
-		t.Fatalf("fetches %+v, want the whole list", fetches)
+		t.Fatalf("fetches %+v, want one of the complete list", fetches)
 	}
 	if n := len(h.Snapshot().Services["shop"].Backends); n != 9 {
-		t.Errorf("%d servers in use meanwhile, want 9", n)
+		t.Errorf("%d servers in use before the complete list arrived, want 9", n)
 	}
 	h.deliver(1, &config.Discovered{Backends: []config.DiscoveredBackend{registered(0, 1)}})
 	if n := len(h.Snapshot().Services["shop"].Backends); n != 1 {
-		t.Errorf("%d servers after the whole list, want 1", n)
+		t.Errorf("%d servers after the complete list, want 1", n)
 	}
 }
 
-// BenchmarkServerChange is one server's change on a host, from the document to the view.
+// BenchmarkServerChange measures how a host applies the change of one server, from the
+// document to the published view.
 func BenchmarkServerChange(b *testing.B) {
 	for _, servers := range []int{600, 6000, 14000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
@@ -158,14 +159,14 @@
 	}
 }
 
-// A server is new on a host if it joined a service that the host knew, not if the host met it with
-// its first list or its subset moved.
+// A server has a join time on a host only if it joined a service that the host already knew, not
+// if it was in the host's first list or entered the host's subset.
 func TestOnlyServersThatJoinAreNew(t *testing.T) {
 	h := newDirectHost(t, 9)
 	h.deliver(2, &config.Discovered{Base: 1, Backends: []config.DiscoveredBackend{registered(9, 1)}})
 	for _, b := range h.Snapshot().Services["shop"].Backends {
 		if isNew := !b.JoinedAt.IsZero(); isNew != (b.ID == registered(9, 1).ID) {
-			t.Errorf("server %s: joined at %v", b.ID, b.JoinedAt)
+			t.Errorf("server %s has join time %v, want one only for the server added later", b.ID, b.JoinedAt)
 		}
 	}
 }
--- a/internal/engine/serviceview.go
+++ b/internal/engine/serviceview.go
@@ -34,8 +34,8 @@
 	return view
 }
 
-// shareAmong places the servers in rotation on rings, by what has changed since the view
-// before; that may be nil.
+// shareAmong returns the hash rings of the servers in rotation, derived from those of the
+// previous view by adding and removing the servers that changed. before may be nil.
 func shareAmong(before *world.ServiceView, backends []world.BackendView) *sharing.Service {
 	var held []world.BackendView
 	rings := &sharing.Service{}
@@ -85,9 +85,10 @@
 	}
 }
 
-// shareOf divides a server's slots among the active owners. The rest of the
-// division goes to other owners at each server, so that totals are even. All
-// owners compute the same shares from the same list.
+// shareOf returns an owner's share of a server's slots, which are divided evenly
+// among the active owners. The remainder rotates over the owners from server to
+// server, so that totals stay balanced. All owners compute the same shares from
+// the same list.
 func shareOf(slots, server, owner, owners int) int {
 	if owner < 0 || owners == 0 {
 		return 0
@@ -112,7 +113,7 @@
 	}
 }
 
-// chooseSubsets renews the subsets after a change of hosts.
+// chooseSubsets recomputes the subsets of all services after the set of hosts has changed.
 func (v *viewBuilder) chooseSubsets() {
 	if v.forwarding {
 		return
@@ -126,7 +127,7 @@
 	v.services = next
 }
 
-// chooseSubset picks the servers that this host uses.
+// chooseSubset selects the servers of a service that this host uses.
 func (v *viewBuilder) chooseSubset(view *world.ServiceView) {
 	names := v.sharing.Subset(view.Sharing)
 	slices.Sort(names)
@@ -138,7 +139,8 @@
 	}
 }
 
-// limitCold adds the limits of cold servers to those that servers name.
+// limitCold adds the rate limits for cold servers to the limits set by the servers
+// themselves.
 func (v *viewBuilder) limitCold(w *world.World, now time.Time) {
 	var cold []ratelimit.Cold
 	v.coldChanges = time.Time{}
--- a/internal/engine/views.go
+++ b/internal/engine/views.go
@@ -16,7 +16,7 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// viewBuilder makes snapshots and rebuilds only what changed.
+// viewBuilder builds snapshots, rebuilding only the parts that have changed.
 type viewBuilder struct {
 	forwarding        bool
 	routes            *route.Table
@@ -35,7 +35,7 @@
 	fleetSize         int
 	quarantine        *quarantine.View
 	rateLimits        *ratelimit.View
-	// coldChanges is when the next cold server is warm, zero for none.
+	// coldChanges is when the next cold server will be warm, zero if there is none.
 	coldChanges time.Time
 }
 
@@ -92,7 +92,7 @@
 	}
 }
 
-// buildServices renews the views of services that have changed, and reports whether any has.
+// buildServices rebuilds the views of changed services and reports whether any has changed.
 func (v *viewBuilder) buildServices(w *world.World) bool {
 	changed := make(map[string]*world.ServiceView)
 	for name, svc := range w.Services {
@@ -140,7 +140,7 @@
 	v.customers = customer.Build(entries)
 }
 
-// buildRevisions copies the documents' revisions where one has changed.
+// buildRevisions copies the revisions of all documents if any of them has changed.
 func (v *viewBuilder) buildRevisions(w *world.World) {
 	same := len(v.revisions) == len(w.Documents)
 	for key, doc := range w.Documents {
@@ -155,7 +155,8 @@
 	}
 }
 
-// buildFleet places the live hosts, and this host's subsets among them.
+// buildFleet rebuilds everything that depends on the set of live hosts, including this
+// host's subsets.
 func (v *viewBuilder) buildFleet(w *world.World) {
 	if v.hostsVersion == w.HostsVersion && v.fleetSize > 0 {
 		return
@@ -175,7 +176,7 @@
 	v.chooseHomes(w)
 }
 
-// chooseHomes lists the hosts that may hold customers' limits.
+// chooseHomes lists the hosts that may keep the rate limits of customers.
 func (v *viewBuilder) chooseHomes(w *world.World) {
 	v.homes = nil
 	v.reachable = make(map[string]bool, len(w.Hosts))
@@ -188,8 +189,8 @@
 	}
 }
 
-// buildClaimants lists the hosts that keep idempotency keys: the platform's
-// list, or without one every host ever heard of.
+// buildClaimants lists the hosts that store idempotency keys: the platform's host
+// list or, without one, every host ever heard of.
 func (v *viewBuilder) buildClaimants(w *world.World) {
 	revision := w.Document(world.KeyHosts).Revision
 	if v.claimants != nil && revision == v.hostListRevision && (revision > 0 || len(w.Hosts) == v.hosts) {
--- a/internal/world/elapsed.go
+++ b/internal/world/elapsed.go
@@ -3,16 +3,16 @@
 import "time"
 
 // Elapsed returns the time from start to end by the monotonic or the wall
-// clock, whichever saw more: the monotonic clock stands still while a machine
-// is suspended, the wall clock can be set back.
+// clock, whichever is longer: the monotonic clock stands still while a machine
+// is suspended, and the wall clock can be set back.
 func Elapsed(start, end time.Time) time.Duration {
 	return max(end.Sub(start), end.Round(0).Sub(start.Round(0)))
 }
 
-// Passed reports whether a point in time has passed by either clock.
+// Passed reports whether point has passed according to either clock.
 func Passed(now, point time.Time) bool {
 	return Elapsed(point, now) > 0
 }
 
-// Beginning is before all events.
+// Beginning is a time before all events.
 var Beginning = time.Unix(0, 0)
--- a/internal/world/latency.go
+++ b/internal/world/latency.go
@@ -9,16 +9,17 @@
 	latencySampleSize = 128
 	latencySampleMin  = 16
 
-	// slowFactor times the median is slow.
+	// slowFactor is the multiple of the median above which a response is slow.
 	slowFactor = 3
-	// slowSlack keeps jitter of fast services from counting as slow.
+	// slowSlack is added to the threshold so that jitter of fast services does not
+	// count as slow.
 	slowSlack = 5 * time.Millisecond
-	// medianEvery is how many additions one computed median serves.
+	// medianEvery is the number of additions after which the median is recomputed.
 	medianEvery = 16
 )
 
-// LatencySample estimates a service's usual time to the first byte from its
-// newest answers over all backend servers.
+// LatencySample estimates the usual time to first byte of a service from its most
+// recent responses across all backend servers.
 type LatencySample struct {
 	values []time.Duration
 	next   int
@@ -26,7 +27,7 @@
 	median time.Duration
 }
 
-// Add takes one time to the first byte.
+// Add records one time to first byte.
 func (s *LatencySample) Add(d time.Duration) {
 	if len(s.values) < latencySampleSize {
 		s.values = append(s.values, d)
@@ -42,7 +43,7 @@
 	}
 }
 
-// Median returns the middle of the sample, 0 until there is enough.
+// Median returns the median of the sample, or 0 until there are enough values.
 func (s *LatencySample) Median() time.Duration {
 	if s.added < latencySampleMin {
 		return 0
@@ -50,8 +51,8 @@
 	return s.median
 }
 
-// SlowAfter returns the time from which an answer counts as slow, or 0 while
-// that is unknown.
+// SlowAfter returns the time to first byte above which a response counts as slow,
+// or 0 while the median is unknown.
 func (s *LatencySample) SlowAfter() time.Duration {
 	median := s.Median()
 	if median == 0 {
--- a/internal/world/outbox.go
+++ b/internal/world/outbox.go
@@ -7,7 +7,7 @@
 	"github.com/pearshelf/pearshelf/internal/event"
 )
 
-// Probe is a check of a backend server to be made.
+// Probe is a requested health check of a backend server.
 type Probe struct {
 	Service string
 	Backend string
@@ -16,48 +16,48 @@
 	Timeout time.Duration
 }
 
-// Fetch is a document to be fetched.
+// Fetch is a requested fetch of a document.
 type Fetch struct {
 	Key   string
 	After uint64
-	// Peers are addresses to ask in order.
+	// Peers are the addresses of the hosts to ask, in order.
 	Peers []string
-	// Platform allows asking the platform if no peer has it.
+	// Platform allows asking the platform if no peer has the document.
 	Platform bool
 }
 
-// Evidence is a report for other hosts.
+// Evidence is a report on backend servers to send to other hosts.
 type Evidence struct {
 	To       []string // host names
 	Evidence *peerpb.Evidence
 }
 
-// Heartbeat is what a host that reads the platform tells the others.
+// Heartbeat is a message from a host that watches the platform to the others.
 type Heartbeat struct {
 	To       []string // host names
 	Datagram *peerpb.Datagram
 }
 
-// Outbox collects what a tick wants done.
+// Outbox collects the actions requested during a tick.
 type Outbox struct {
 	Events    []event.Event
 	Registers []*peerpb.Register
-	// Urgent registers also go straight to these hosts.
+	// Urgent registers are also sent directly to the hosts that they name.
 	Urgent   []Urgent
 	Probes   []Probe
 	Fetches  []Fetch
 	Evidence []Evidence
-	// Heartbeats of a reader.
+	// Heartbeats are sent while this host watches the platform.
 	Heartbeats []Heartbeat
 }
 
-// Urgent is a register that should not wait for gossip.
+// Urgent is a register that is sent directly instead of waiting for gossip.
 type Urgent struct {
 	To       []string // host names
 	Register *peerpb.Register
 }
 
-// Take returns the content and empties the outbox.
+// Take returns the contents of the outbox and empties it.
 func (o *Outbox) Take() Outbox {
 	taken := *o
 	*o = Outbox{}
--- a/internal/world/platform.go
+++ b/internal/world/platform.go
@@ -3,22 +3,22 @@
 import "time"
 
 const (
-	// awayAfter is the time without an answer after which the platform counts as away, so that
-	// registrations may have lapsed with it.
+	// awayAfter is the time without an answer after which the platform counts as unavailable,
+	// so that registrations may have expired during the outage.
 	awayAfter = 2500 * time.Millisecond
-	// lapsesFor is for how long after its return registrations may be missing.
+	// lapsesFor is how long after the end of an outage registrations may still be missing.
 	lapsesFor = 3 * time.Second
 )
 
-// PlatformAnswers is when the platform answered this host, or another of the data centre that it
-// hears.
+// PlatformAnswers tracks when the platform last answered this host, or another host of the data
+// centre that reports it to this one.
 type PlatformAnswers struct {
 	last time.Time
-	// back is when the platform last answered after it had been away.
+	// back is when the platform first answered after its last outage.
 	back time.Time
 }
 
-// Answered notes an answer of the platform.
+// Answered records that the platform answered at the given time.
 func (p *PlatformAnswers) Answered(at time.Time) {
 	if !at.After(p.last) {
 		return
@@ -29,8 +29,8 @@
 	p.last = at
 }
 
-// MayHaveLapsed reports whether registrations may be missing because the platform is or was away.
-// So they may where nobody tells of its answers.
+// MayHaveLapsed reports whether registrations may be missing because the platform is or was
+// recently unavailable. It returns true if no answer has been recorded.
 func (p *PlatformAnswers) MayHaveLapsed(now time.Time) bool {
 	isAway := now.Sub(p.last) >= awayAfter
 	wasAway := !p.back.IsZero() && now.Sub(p.back) < lapsesFor
--- a/internal/world/snapshot.go
+++ b/internal/world/snapshot.go
@@ -20,14 +20,15 @@
 	Address    string
 	DataCentre string
 	Slots      int
-	// Warmup is how much longer the server is slow after its start, as of when
-	// it was published.
+	// Warmup is how much longer the server is slow after its start, as of the
+	// time the value was published.
 	Warmup time.Duration
-	// Started is when its process started, in Unix milliseconds, 0 if not told.
+	// Started is when the server's process started, in Unix milliseconds, 0 if
+	// not reported.
 	Started int64
-	// JoinedAt is when it joined, zero if it was there before this host.
+	// JoinedAt is when the server joined, zero if it was there before this host.
 	JoinedAt time.Time
-	// Share is how many of the slots are this host's own; see SharesSlots.
+	// Share is the number of slots assigned to this host; see SharesSlots.
 	Share          int
 	IdempotentOnly bool
 	Weight         float64
@@ -40,28 +41,29 @@
 	Address string
 }
 
-// ServiceView is what the request path knows of a service.
+// ServiceView is the request path's view of a service.
 type ServiceView struct {
 	Config *config.Service
-	// Backends are the servers in rotation, ordered by ID. Where hosts pick directly, Subset are those
-	// that this host uses unless none of them serves, and Sharing says who else does.
+	// Backends are the servers in rotation, ordered by ID. With direct picking, Subset holds the
+	// servers that this host uses unless none of them can serve, and Sharing determines which
+	// other hosts use them.
 	Backends []BackendView
 	Subset   []BackendView
 	Sharing  *sharing.Service
-	// Owners in this data centre, other than this host, in rank order; the
-	// first ActiveOwners of them are active.
+	// Owners are the owners in this data centre other than this host, in rank
+	// order; the first ActiveOwners of them are active.
 	Owners       []OwnerView
 	ActiveOwners int
 	// SelfOwner is whether this host is an active owner.
 	SelfOwner bool
-	// OwnerCount is the number of active owners over the fleet, at least 1.
+	// OwnerCount is the number of active owners in the fleet, at least 1.
 	OwnerCount int
-	// SharesSlots is whether each slot belongs to one active owner, of which
-	// this host is one. Otherwise this host goes by reported load alone.
+	// SharesSlots is whether each slot is assigned to one active owner and this
+	// host is one of them. Otherwise this host relies on reported load alone.
 	SharesSlots bool
 }
 
-// Candidates are the servers to which this host sends first.
+// Candidates returns the servers to which this host sends requests first.
 func (v *ServiceView) Candidates() []BackendView {
 	if v.Subset != nil {
 		return v.Subset
@@ -69,7 +71,7 @@
 	return v.Backends
 }
 
-// Within returns the view with only the servers of some data centres.
+// Within returns a copy of the view that has only the servers of allowed data centres.
 func (v *ServiceView) Within(allowed func(dataCentre string) bool) *ServiceView {
 	outside := func(b BackendView) bool { return !allowed(b.DataCentre) }
 	within := *v
@@ -80,7 +82,7 @@
 	return &within
 }
 
-// Backend returns a server in rotation by ID, or nil.
+// Backend returns the server in rotation with the given ID, or nil.
 func (v *ServiceView) Backend(id string) *BackendView {
 	i, found := slices.BinarySearchFunc(v.Backends, id, func(b BackendView, id string) int { return cmp.Compare(b.ID, id) })
 	if !found {
@@ -89,59 +91,60 @@
 	return &v.Backends[i]
 }
 
-// Snapshot is an immutable view for the request path.
+// Snapshot is an immutable view of the world for the request path.
 type Snapshot struct {
 	Self Identity
-	// FreshUntil is until when non-idempotent requests may be sent.
+	// FreshUntil is the time until which non-idempotent requests may be sent.
 	FreshUntil time.Time
-	// Suspended is for how long the machine had been suspended when this view was made;
-	// see package boottime.
+	// Suspended is the total time that the machine had been suspended since boot when this
+	// snapshot was made; see package boottime.
 	Suspended time.Duration
-	// Revisions of the documents in force, by key.
+	// Revisions are the revisions of the documents in force, by key.
 	Revisions map[string]uint64
 	// Ready is whether a configuration is in force.
 	Ready   bool
 	Leaving bool
-	// Distrust is set while this host's own network looks faulty.
+	// Distrust is set while this host's own network appears to be faulty.
 	Distrust bool
 	Routes   *route.Table
 	Services map[string]*ServiceView
-	// Customers are those who may use routes that are not public.
+	// Customers are the customers that may use non-public routes.
 	Customers *customer.Table
-	// LiveHosts is the number of live hosts, this one included.
+	// LiveHosts is the number of live hosts, including this one.
 	LiveHosts int
-	// HostsVersion grows with every change of the hosts below.
+	// HostsVersion increases with every change to the host table.
 	HostsVersion uint64
-	// Homes are the hosts that may hold customers' limits, this one included; Reachable
-	// are those that nothing speaks against. Settled is whether this host has had time to
-	// hear of them.
+	// Homes are the hosts that may keep the rate limits of customers, including this one.
+	// Reachable are this host and the hosts that are not suspected of failure. Settled is
+	// whether this host has had time to learn of the others.
 	Homes     []rendezvous.Node
 	Reachable map[string]bool
 	Settled   bool
-	// Quarantine is the contents that are refused because they end servers.
+	// Quarantine lists the request contents that are refused because they crash servers.
 	Quarantine *quarantine.View
-	// RateLimits is what servers take from all hosts together, of those that name it.
+	// RateLimits holds the limits that backend servers set on the request rate from all
+	// hosts together.
 	RateLimits *ratelimit.View
-	// Sharing says with which of them this host shares what it knows of servers.
+	// Sharing determines the hosts with which this host exchanges data about servers.
 	Sharing *sharing.Fleet
-	// FleetSize is the largest number of hosts that were live at a time.
+	// FleetSize is the largest number of hosts seen live at the same time.
 	FleetSize int
-	// Claimants are the hosts among which idempotency keys are spread, with
-	// their addresses. They come from the platform's list, which does not
-	// shrink when the fleet is cut apart.
+	// Claimants are the hosts over which idempotency keys are distributed, with
+	// their addresses in ClaimantAddress. They come from the platform's host list,
+	// which does not shrink during a network partition.
 	Claimants       []rendezvous.Node
 	ClaimantAddress map[string]string
 }
 
 // Fresh reports whether the view may be trusted for non-idempotent requests. suspended is
-// for how long the machine has been suspended by now: FreshUntil is a point of the steady
-// clock, which stood still meanwhile.
+// the total time that the machine has been suspended since boot. It is needed because
+// FreshUntil is compared by the monotonic clock, which stands still during a suspension.
 func (s *Snapshot) Fresh(now time.Time, suspended time.Duration) bool {
 	slept := suspended - s.Suspended
 	return !Passed(now, s.FreshUntil) && now.Add(slept).Sub(s.FreshUntil) <= 0
 }
 
-// SharedService returns a service's servers on their rings, nil if there is no such
+// SharedService returns the hash rings of a service's servers, or nil if there is no such
 // service.
 func (s *Snapshot) SharedService(name string) *sharing.Service {
 	view, ok := s.Services[name]
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -1,6 +1,6 @@
-// Package world holds the tables of a host: hosts, services, backend servers,
-// documents and registers. The systems (internal/system/...) run over them
-// each tick on one goroutine; the request path reads immutable snapshots.
+// Package world holds the state tables of a host: hosts, services, backend
+// servers, documents and registers. On each tick the systems (internal/system/...)
+// process them on a single goroutine; the request path reads immutable snapshots.
 package world
 
 import (
@@ -21,21 +21,21 @@
 	KeyIndex       = "services/index"
 	KeyHosts       = "hosts"
 	KeyShardPrefix = "services/"
-	// KeyPublished is the one shard of a platform that publishes its
-	// configuration as a whole.
+	// KeyPublished is the only shard of a platform that publishes its
+	// configuration as a single document.
 	KeyPublished = KeyShardPrefix + "published"
-	// KeyDiscovered holds the backend servers that registered themselves, where
-	// the platform has such a register.
+	// KeyDiscovered holds the backend servers that registered themselves, if the
+	// platform provides such a registry.
 	KeyDiscovered = "backends"
 )
 
-// System is one step of a tick. It must be a pure function of the world and
-// the time: no clock, goroutine or I/O of its own.
+// System is one step of a tick. It must depend on the world and the given time
+// only, and must not read the clock, start goroutines or perform I/O.
 type System interface {
 	Run(w *World, now time.Time)
 }
 
-// Identity names this host.
+// Identity identifies a host.
 type Identity struct {
 	Host       string
 	Address    string // peer listener, IP:port
@@ -49,12 +49,12 @@
 	DataCentre string
 	Liveness   peerpb.Liveness
 	Leaving    bool
-	// Capacity is what the host can bear beside its requests, in thousandths of a core, 0 if
-	// not told.
+	// Capacity is the CPU capacity that the host can spare beside its own requests, in
+	// thousandths of a core, 0 if not reported.
 	Capacity uint32
 }
 
-// Live reports whether the host may be asked for something.
+// Live reports whether requests may be sent to the host.
 func (h *Host) Live() bool {
 	return h.Liveness == peerpb.Liveness_LIVENESS_ALIVE || h.Liveness == peerpb.Liveness_LIVENESS_SUSPECT
 }
@@ -62,34 +62,34 @@
 // Eligible reports whether the host may own services.
 func (h *Host) Eligible() bool { return h.Live() && !h.Leaving }
 
-// Document is one key of the platform as this host holds it.
+// Document is this host's copy of the document under one key of the platform.
 type Document struct {
 	Key      string
 	Revision uint64
 	Raw      []byte
-	// Refused is the highest revision whose content was refused, and why.
+	// Refused is the highest revision whose content was refused; RefusedReason is why.
 	Refused       uint64
 	RefusedReason string
-	// Incomplete is set where a change did not fit what is held: only the whole document
-	// helps.
+	// Incomplete is set if a change could not be applied to the revision held, so that the
+	// whole document is needed.
 	Incomplete bool
-	// Answers are what other hosts were given of it last.
+	// Answers caches the latest responses to other hosts for this document.
 	Answers DocumentAnswers
-	// Fetching is until when a fetch is under way.
+	// Fetching is the time until which a fetch counts as in progress.
 	Fetching time.Time
-	// Attempts counts fetches since the last success.
+	// Attempts is the number of fetches since the last success.
 	Attempts int
 }
 
-// DocumentAnswers are answers to other hosts by the revision that they hold.
+// DocumentAnswers holds responses to other hosts by the revision that those hosts hold.
 type DocumentAnswers struct {
 	Revision uint64
 	MadeAt   time.Time
 	ByHeld   map[uint64]*peerpb.DocumentResponse
 }
 
-// Lacks reports whether a revision is newer than what this host holds, and not
-// one that it refused.
+// Lacks reports whether this host needs the given revision: it is newer than the
+// one held and has not been refused.
 func (d *Document) Lacks(revision uint64) bool {
 	if d.Incomplete {
 		return revision >= d.Revision
@@ -97,8 +97,8 @@
 	return revision > d.Revision && revision > d.Refused
 }
 
-// Held is the revision from which on this host can apply a change, 0 if it needs the whole
-// document.
+// Held returns the revision to which this host can apply changes, or 0 if it needs the
+// whole document.
 func (d *Document) Held() uint64 {
 	if d.Incomplete {
 		return 0
@@ -106,54 +106,55 @@
 	return d.Revision
 }
 
-// BackendState is the graded judgement of a backend server.
+// BackendState is the health state of a backend server.
 type BackendState int
 
 // States of a backend server.
 const (
 	BackendHealthy BackendState = iota
-	BackendSuspect              // idempotent requests only, last choice
-	BackendEjected              // no requests, by a majority of watchers
-	BackendTrial                // returned: idempotent requests first, then slow start
+	BackendSuspect              // idempotent requests only, as a last resort
+	BackendEjected              // no requests, by majority vote of the watchers
+	BackendTrial                // back in rotation: idempotent requests first, then slow start
 )
 
 var stateNames = [...]string{"healthy", "suspect", "ejected", "trial"}
 
-// String returns the name that operators use.
+// String returns the name shown to operators.
 func (s BackendState) String() string { return stateNames[s] }
 
-// Rotation says how a backend server may be used and why.
+// Rotation describes whether and how a backend server may be used.
 type Rotation struct {
-	// In is whether it gets requests at all.
+	// In is whether the server gets any requests.
 	In bool
-	// IdempotentOnly keeps non-idempotent requests away.
+	// IdempotentOnly restricts the server to idempotent requests.
 	IdempotentOnly bool
-	// Weight from 0 to 1 scales its share of requests.
+	// Weight, from 0 to 1, scales the server's share of requests.
 	Weight float64
-	// Reason is a word for operators, empty for full rotation.
+	// Reason is a short explanation for operators, empty in full rotation.
 	Reason string
 }
 
-// Detection is the evidence about one backend server on this host.
+// Detection is the failure detection state for one backend server on this host.
 type Detection struct {
-	// Relative is the cumulative log-likelihood ratio of faulty against healthy,
-	// less a multiple of the median of the service's other servers.
+	// Relative is the cumulative log-likelihood ratio of faulty versus healthy,
+	// minus a multiple of the median over the service's other servers.
 	Relative float64
-	// Unreachable counts failed connections in a row on this host.
+	// Unreachable is the number of consecutive failed connections from this host.
 	Unreachable int
-	// PathFault is set while the server fails from this host only.
+	// PathFault is set while the server fails only for this host.
 	PathFault bool
-	// Voted is whether this host, as a watcher, holds it ejected.
+	// Voted is whether this host, as a watcher, votes for ejection.
 	Voted bool
 	// RenewAt is when the vote must be renewed.
 	RenewAt time.Time
-	// Relapses counts ejections that followed closely on a return.
+	// Relapses is the number of ejections shortly after a return.
 	Relapses   int
 	ReturnedAt time.Time
-	// ProbeAt is when the next probe is due, ProbesGood the run of good ones.
+	// ProbeAt is when the next probe is due; ProbesGood is the number of consecutive
+	// successful probes.
 	ProbeAt    time.Time
 	ProbesGood int
-	// TrialGood counts good requests since the return.
+	// TrialGood is the number of successful requests since the return.
 	TrialGood int
 }
 
@@ -162,10 +163,11 @@
 	Config config.Backend
 	State  BackendState
 	Since  time.Time // of State
-	// JoinedAt is when the server, or its process, joined a service that this host knew; zero if
-	// it was there before.
+	// JoinedAt is when the server, or its current process, joined a service that this host
+	// already knew; zero if it was there before.
 	JoinedAt time.Time
-	// ColdUntil is until when the server is slow and takes few requests after its start.
+	// ColdUntil is the time until which the server, after its start, is slow and gets few
+	// requests.
 	ColdUntil time.Time
 	Detection Detection
 	Rotation  Rotation
@@ -175,26 +177,27 @@
 type Service struct {
 	Config   *config.Service
 	Document string
-	// ListsBackends is whether the configuration itself lists the backend
-	// servers; otherwise they are the registered ones.
+	// ListsBackends is whether the configuration lists the backend servers;
+	// otherwise the registered ones are used.
 	ListsBackends bool
 	// Backends is ordered by ID.
 	Backends []*BackendServer
-	// Owners are the hosts that dispatch the service, by data centre in rank
-	// order; the first ActiveOwners of each do so, the others stand by.
+	// Owners are the hosts that may dispatch requests of the service, by data
+	// centre in rank order. The first ActiveOwners of each are active, the others
+	// are on standby.
 	Owners       map[string][]string
 	ActiveOwners int
-	// Watchers are the hosts whose majority ejects.
+	// Watchers are the hosts that eject servers by majority vote.
 	Watchers []string
-	// Latency is the sample of recent times to the first byte.
+	// Latency is a sample of recent times to first byte.
 	Latency LatencySample
-	// Busy is set while detection has something to do.
+	// Busy is set while failure detection has work to do.
 	Busy bool
-	// Dirty asks for a new rotation and view.
+	// Dirty requests that rotation and view be recomputed.
 	Dirty bool
 }
 
-// Backend returns a row by ID or nil.
+// Backend returns the backend server with the given ID, or nil.
 func (s *Service) Backend(id string) *BackendServer {
 	i, ok := slices.BinarySearchFunc(s.Backends, id, func(b *BackendServer, id string) int { return cmp.Compare(b.Config.ID, id) })
 	if !ok {
@@ -203,7 +206,7 @@
 	return s.Backends[i]
 }
 
-// CountIn returns how many backend servers the service has in a data centre.
+// CountIn returns the number of the service's backend servers in a data centre.
 func (s *Service) CountIn(dataCentre string) int {
 	count := 0
 	for _, b := range s.Backends {
@@ -214,10 +217,10 @@
 	return count
 }
 
-// Watches reports whether a host is one of the watchers.
+// Watches reports whether a host is one of the service's watchers.
 func (s *Service) Watches(host string) bool { return slices.Contains(s.Watchers, host) }
 
-// Active returns the active owners of all data centres, by name.
+// Active returns the active owners in all data centres, sorted by name.
 func (s *Service) Active() []string {
 	var active []string
 	for _, hosts := range s.Owners {
@@ -227,77 +230,79 @@
 	return active
 }
 
-// World is all tables of one host.
+// World holds all state tables of one host.
 type World struct {
 	Self  Identity
 	Clock *hlc.Clock
 
 	// Hosts is the membership list, by name.
 	Hosts map[string]*Host
-	// HostList is the platform's list, with its document revision.
+	// HostList is the platform's host list.
 	HostList config.HostList
-	// Index is the platform's list of shards, nil until known.
+	// Index is the platform's list of shards, nil until received.
 	Index *config.Index
-	// Readers are the hosts of this data centre that watch the platform, the
-	// first ones of ReaderOrder, which also ranks those that stand in for them.
+	// Readers are the hosts of this data centre that watch the platform. They are
+	// the first hosts of ReaderOrder, which also ranks their substitutes.
 	Readers     []string
 	ReaderOrder []string
-	// ActiveReaders is how many hosts of a data centre watch the platform.
+	// ActiveReaders is the number of hosts per data centre that watch the platform.
 	ActiveReaders int
-	// StandsIn is set while this host watches the platform in a reader's place.
+	// StandsIn is set while this host watches the platform as a substitute for a reader.
 	StandsIn bool
-	// HeadsChanged asks a reader for a heartbeat at once.
+	// HeadsChanged requests an immediate heartbeat from a reader.
 	HeadsChanged bool
 
 	Documents map[string]*Document
-	// Required are the keys without which this host is not ready.
+	// Required are the keys that this host must have to become ready.
 	Required []string
-	// Polled are the keys that every host asks the platform for now and then.
+	// Polled are the keys that every host polls from the platform occasionally.
 	Polled   []string
 	Services map[string]*Service
-	// SharedRoutes are the routes that name their services, by document.
+	// SharedRoutes are the routes that specify their services, by document.
 	SharedRoutes map[string][]config.Route
-	// Customers are those of all documents, by document.
+	// Customers are the configured customers, by document.
 	Customers map[string][]config.Customer
-	// Registry is what the platform lists of the backend servers that have registered
+	// Registry holds the platform's list of backend servers that have registered
 	// themselves.
 	Registry *registry.Table
 	// Discovered are the registered backend servers that this host uses, by service and
-	// ordered by ID; they serve the services whose configuration lists none.
+	// ordered by ID. They are used for services whose configuration lists no servers.
 	Discovered map[string][]config.Backend
-	// Evacuated are the data centres whose backend servers get no requests, in order.
+	// Evacuated are the data centres whose backend servers get no requests, sorted.
 	Evacuated []string
-	// Absent are the registered backend servers that the platform no longer
-	// lists and this host still uses for a while, by ID.
+	// Absent are the registered backend servers that the platform no longer lists
+	// but that this host keeps using for a grace period, by ID.
 	Absent map[string]AbsentBackend
-	// Platform is when the platform answered a host of this data centre.
+	// Platform tracks when the platform answered a host of this data centre.
 	Platform PlatformAnswers
-	// DirectPicking is set where every host picks backend servers by itself.
+	// DirectPicking is set if each host picks backend servers itself instead of
+	// forwarding to owners.
 	DirectPicking bool
 	Registers     *register.Store
 
-	// HostsVersion grows with every change of Hosts.
+	// HostsVersion increases with every change to Hosts.
 	HostsVersion uint64
-	// HostsChanged and ServicesChanged ask for new placement and routes.
+	// HostsChanged and ServicesChanged request that placement and routes be recomputed.
 	HostsChanged    bool
 	ServicesChanged bool
-	// Settled is whether this host has had time to hear of the others, or knows
-	// of none.
+	// Settled is whether this host has had time to learn of the other hosts, or
+	// knows of none.
 	Settled bool
 	// Leaving is set during a planned stop of this host.
 	Leaving bool
-	// FreshUntil is until when the view may be trusted for non-idempotent work.
+	// FreshUntil is the time until which the view may be trusted for non-idempotent
+	// requests.
 	FreshUntil time.Time
-	// Suspended is for how long the machine has been suspended since it booted.
+	// Suspended is the total time that the machine has been suspended since boot.
 	Suspended time.Duration
-	// StartedAt is when this process began.
+	// StartedAt is when this process started.
 	StartedAt time.Time
-	// Distrust is set while this host's own network looks faulty.
+	// Distrust is set while this host's own network appears to be faulty.
 	Distrust bool
 
-	// QuarantineChanged asks for a new view of the contents in quarantine.
+	// QuarantineChanged requests a new view of the quarantined contents.
 	QuarantineChanged bool
-	// RateLimitsChanged asks for a new view of servers' rate limits.
+	// RateLimitsChanged requests a new view of the rate limits of servers.
 	RateLimitsChanged bool
 
 	Out Outbox
@@ -306,12 +311,12 @@
 // AbsentBackend is a backend server whose registration is missing.
 type AbsentBackend struct {
 	Service string
-	// Until is when it is taken for gone.
+	// Until is when the server is considered gone.
 	Until time.Time
 }
 
-// DefaultActiveReaders watch the platform in each data centre where nobody
-// stands in for them.
+// DefaultActiveReaders is the number of hosts per data centre that watch the
+// platform if there are no substitutes for them.
 const DefaultActiveReaders = 2
 
 // New returns an empty world.
@@ -335,7 +340,7 @@
 	}
 }
 
-// Document returns the row of a key, made if absent.
+// Document returns the document with the given key, creating it if absent.
 func (w *World) Document(key string) *Document {
 	doc, ok := w.Documents[key]
 	if !ok {
@@ -345,7 +350,7 @@
 	return doc
 }
 
-// HostNames returns the names of all known hosts in order.
+// HostNames returns the sorted names of all known hosts.
 func (w *World) HostNames() []string {
 	names := make([]string, 0, len(w.Hosts))
 	for name := range w.Hosts {
@@ -355,7 +360,7 @@
 	return names
 }
 
-// ServiceNames returns the names of all services in order.
+// ServiceNames returns the sorted names of all services.
 func (w *World) ServiceNames() []string {
 	names := make([]string, 0, len(w.Services))
 	for name := range w.Services {
@@ -365,7 +370,7 @@
 	return names
 }
 
-// Record queues an event for the time line.
+// Record queues an event for the timeline.
 func (w *World) Record(now time.Time, n event.Number, service, backend, detail string) {
 	w.Out.Events = append(w.Out.Events, event.Event{
 		Number:  n,
@@ -377,7 +382,7 @@
 	})
 }
 
-// Write makes a register of this host's, stores it and queues it for others.
+// Write stamps a register as written by this host, stores it and queues it for gossip.
 func (w *World) Write(now time.Time, r *peerpb.Register) {
 	r.Stamp = &peerpb.Stamp{
 		Revision: r.GetStamp().GetRevision(),
