--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -27,12 +27,12 @@
 )
 
 const (
-	// ReadyAfter is how long a new host waits for a response from its peers
+	// JoinTimeout is how long a new host waits for a response from its peers
 	// before it relies on the platform alone.
-	ReadyAfter = 3 * time.Second
-	// SettleAfter is how long a new host that knows of other hosts treats its
+	JoinTimeout = 3 * time.Second
+	// SettleDelay is how long a new host that knows of other hosts treats its
 	// host list as incomplete.
-	SettleAfter = 1 * time.Second
+	SettleDelay = 1 * time.Second
 )
 
 // Effects carries out the actions requested by a tick. Calls must not block.
@@ -98,15 +98,15 @@
 	inbox    chan func(now time.Time)
 	snapshot atomic.Pointer[world.Snapshot]
 
-	lastTick  time.Time
-	wokeAt    time.Time // end of the last pause; zero if the view is fresh
-	synced    bool      // a peer has completed a full state sync
-	ready     bool
-	whenReady chan struct{} // closed when this host becomes ready
-	known     []string      // addresses of other hosts, as of the current tick
+	lastTick     time.Time
+	pauseEndedAt time.Time // end of the last pause; zero if the view is fresh
+	synced       bool      // a peer has completed a full state sync
+	ready        bool
+	readyCh      chan struct{} // closed when this host becomes ready
+	peers        []string      // addresses of other hosts, as of the current tick
 	// joinedHosts are the hosts that have joined since the last tick.
-	joinedHosts []string
-	headTold    bool // another host has announced a document revision since the last tick
+	joinedHosts   []string
+	headAnnounced bool // another host has announced a document revision since the last tick
 }
 
 // New returns an engine whose start time is now.
@@ -121,7 +121,7 @@
 		views:     newViewBuilder(conf.Forwarding),
 		inbox:     make(chan func(time.Time), inboxSize),
 		lastTick:  now,
-		whenReady: make(chan struct{}),
+		readyCh:   make(chan struct{}),
 	}
 	if e.conf.Suspended == nil {
 		e.conf.Suspended = boottime.Suspended
@@ -146,9 +146,9 @@
 		e.systems = append(e.systems, e.detection)
 	}
 	e.systems = append(e.systems, rotation.System{})
-	e.known = e.knownAddresses()
+	e.peers = e.peerAddresses()
 	self := e.members.Member(conf.Self.Host)
-	e.world.Hosts[self.Host] = hostRow(self)
+	e.world.Hosts[self.Host] = newHost(self)
 	e.world.HostsChanged = true
 	e.publish(now)
 	return e
@@ -159,10 +159,10 @@
 
 // Step runs one tick.
 func (e *Engine) Step(now time.Time) {
-	e.noticePause(now)
-	e.headTold = false
-	e.known = e.knownAddresses()
-	e.world.Settled = e.settled(now)
+	e.detectPause(now)
+	e.headAnnounced = false
+	e.peers = e.peerAddresses()
+	e.world.Settled = e.hostListComplete(now)
 	e.expireRegisters(now)
 	e.recordJoined(now)
 	for _, system := range e.systems {
@@ -170,7 +170,7 @@
 	}
 	e.dispatchOutbox(now)
 	e.effects.Send(e.members.Tick(now))
-	for _, address := range e.members.SyncTargets(now, e.known) {
+	for _, address := range e.members.SyncTargets(now, e.peers) {
 		e.effects.SyncWith(address)
 	}
 	e.effects.Reading(configsync.IsReader(e.world))
@@ -180,25 +180,25 @@
 	e.publish(now)
 }
 
-// noticePause marks the view stale if this process has not run for longer than
+// detectPause marks the view stale if this process has not run for longer than
 // Freshness, and fresh again once another host has been heard from since.
-func (e *Engine) noticePause(now time.Time) {
+func (e *Engine) detectPause(now time.Time) {
 	suspended := e.conf.Suspended()
-	slept := suspended - e.world.Suspended
-	pause := max(world.Elapsed(e.lastTick, now), now.Sub(e.lastTick)+slept)
+	suspendedFor := suspended - e.world.Suspended
+	pause := max(world.Elapsed(e.lastTick, now), now.Sub(e.lastTick)+suspendedFor)
 	e.lastTick = now
 	e.world.Suspended = suspended
 	if pause > e.conf.Freshness {
-		e.wokeAt = now
+		e.pauseEndedAt = now
 		e.world.FreshUntil = now.Add(-time.Nanosecond) // by the monotonic clock it may still lie in the future
-		e.world.Record(now, event.HostPaused, "", "", pause.Round(time.Millisecond).String()+", including suspended time of "+slept.Round(time.Millisecond).String())
+		e.world.Record(now, event.HostPaused, "", "", pause.Round(time.Millisecond).String()+", including suspended time of "+suspendedFor.Round(time.Millisecond).String())
 	}
-	if e.wokeAt.IsZero() {
+	if e.pauseEndedAt.IsZero() {
 		return
 	}
 	alone := e.members.Live() <= 1
-	if alone || e.members.LastHeard().After(e.wokeAt) {
-		e.wokeAt = time.Time{}
+	if alone || e.members.LastHeard().After(e.pauseEndedAt) {
+		e.pauseEndedAt = time.Time{}
 		e.world.Record(now, event.HostFresh, "", "", "")
 	}
 }
@@ -212,14 +212,14 @@
 
 func (e *Engine) expireRegisters(now time.Time) {
 	for _, r := range e.world.Registers.Expire(now) {
-		e.touched(r)
+		e.markChanged(r)
 	}
 }
 
-// touched marks the state affected by a changed register for rebuilding.
-func (e *Engine) touched(r *peerpb.Register) {
+// markChanged marks the state affected by a changed register for rebuilding.
+func (e *Engine) markChanged(r *peerpb.Register) {
 	if configsync.IsHead(r) {
-		e.headTold = true
+		e.headAnnounced = true
 		return
 	}
 	if quarantine.Is(r) {
@@ -246,12 +246,12 @@
 	}
 }
 
-func (e *Engine) knownAddresses() []string {
-	known := append([]string(nil), e.conf.Seeds...)
+func (e *Engine) peerAddresses() []string {
+	addresses := append([]string(nil), e.conf.Seeds...)
 	for _, h := range e.world.HostList.Hosts {
-		known = append(known, h.Address)
+		addresses = append(addresses, h.Address)
 	}
-	return slices.DeleteFunc(known, func(address string) bool { return address == e.conf.Self.Address })
+	return slices.DeleteFunc(addresses, func(address string) bool { return address == e.conf.Self.Address })
 }
 
 func (e *Engine) dispatchOutbox(now time.Time) {
@@ -296,10 +296,10 @@
 	w := e.world
 	if !e.ready && e.isReady(now) {
 		e.ready = true
-		defer close(e.whenReady) // after the snapshot with Ready set is published
+		defer close(e.readyCh) // after the snapshot with Ready set is published
 		w.Record(now, event.HostReady, "", "", "")
 	}
-	if e.wokeAt.IsZero() {
+	if e.pauseEndedAt.IsZero() {
 		w.FreshUntil = now.Add(e.conf.Freshness)
 	}
 	e.snapshot.Store(e.views.build(w, now, e.ready))
@@ -309,18 +309,18 @@
 	return (e.joined(now) || e.conf.Documents != nil) && configsync.Current(e.world)
 }
 
-// settled reports whether the host list may be considered complete.
-func (e *Engine) settled(now time.Time) bool {
-	return len(e.known) == 0 || e.joined(now) && now.Sub(e.world.StartedAt) >= SettleAfter
+// hostListComplete reports whether the host list may be considered complete.
+func (e *Engine) hostListComplete(now time.Time) bool {
+	return len(e.peers) == 0 || e.joined(now) && now.Sub(e.world.StartedAt) >= SettleDelay
 }
 
 // joined reports whether a peer has answered, or there is none to wait for.
 func (e *Engine) joined(now time.Time) bool {
-	return e.synced || len(e.known) == 0 || now.Sub(e.world.StartedAt) > ReadyAfter
+	return e.synced || len(e.peers) == 0 || now.Sub(e.world.StartedAt) > JoinTimeout
 }
 
 // WhenReady returns a channel that is closed once a configuration is in force.
-func (e *Engine) WhenReady() <-chan struct{} { return e.whenReady }
+func (e *Engine) WhenReady() <-chan struct{} { return e.readyCh }
 
 // Ready reports whether a configuration is in force.
 func (e *Engine) Ready() bool { return e.Snapshot().Ready }
--- a/internal/engine/inputs.go
+++ b/internal/engine/inputs.go
@@ -53,7 +53,7 @@
 // Write stamps and stores a register written by this host and gossips it.
 func (e *Engine) Write(now time.Time, r *peerpb.Register) {
 	e.world.Write(now, r)
-	e.touched(r)
+	e.markChanged(r)
 }
 
 // Announce writes a register like Write, and also sends it directly to all live hosts
@@ -85,12 +85,12 @@
 			continue
 		}
 		e.queue.AddRegister(r)
-		e.touched(r)
-		e.noteDirective(now, r)
+		e.markChanged(r)
+		e.recordDirective(now, r)
 	}
 }
 
-func (e *Engine) noteDirective(now time.Time, r *peerpb.Register) {
+func (e *Engine) recordDirective(now time.Time, r *peerpb.Register) {
 	if !directive.Is(r) {
 		return
 	}
@@ -147,8 +147,8 @@
 }
 
 // AnswerDocument handles another host's request for a document newer than the one it
-// holds. coming is set if this host has no such document yet but is fetching it.
-func (e *Engine) AnswerDocument(now time.Time, req *peerpb.DocumentRequest) (resp *peerpb.DocumentResponse, coming bool, err error) {
+// holds. pending is set if this host has no such document yet but is fetching it.
+func (e *Engine) AnswerDocument(now time.Time, req *peerpb.DocumentRequest) (resp *peerpb.DocumentResponse, pending bool, err error) {
 	doc, ok := e.world.Documents[req.Key]
 	if !ok {
 		return &peerpb.DocumentResponse{}, false, nil
@@ -169,26 +169,26 @@
 // Leave announces that this host has left and returns once the announcement is sent.
 func (e *Engine) Leave(now time.Time) {
 	e.members.Leave(now)
-	for range leaveDatagrams {
+	for range leaveAnnouncements {
 		e.effects.Send(e.members.Tick(now))
 		now = now.Add(e.conf.Membership.GossipInterval)
 	}
 }
 
-const leaveDatagrams = 3
+const leaveAnnouncements = 3
 
 // MemberChanged copies a changed member into the host table.
-func (e *Engine) MemberChanged(now time.Time, m, was *peerpb.Member) {
+func (e *Engine) MemberChanged(now time.Time, m, previous *peerpb.Member) {
 	if e.world == nil {
 		return
 	}
-	e.world.Hosts[m.Host] = hostRow(m)
+	e.world.Hosts[m.Host] = newHost(m)
 	e.world.HostsChanged = true
 	e.world.HostsVersion++
-	if was != nil && was.Address != m.Address {
+	if previous != nil && previous.Address != m.Address {
 		e.markAllDirty()
 	}
-	e.recordMember(now, m, was)
+	e.recordMemberChange(now, m, previous)
 }
 
 // markAllDirty requests a rebuild of every service view, for instance after an owner's
@@ -199,25 +199,25 @@
 	}
 }
 
-func (e *Engine) recordMember(now time.Time, m, was *peerpb.Member) {
-	if was == nil {
+func (e *Engine) recordMemberChange(now time.Time, m, previous *peerpb.Member) {
+	if previous == nil {
 		e.joinedHosts = append(e.joinedHosts, m.Host)
 		return
 	}
-	if m.Liveness == was.Liveness {
+	if m.Liveness == previous.Liveness {
 		return
 	}
-	numbers := map[peerpb.Liveness]event.Number{
+	eventNumbers := map[peerpb.Liveness]event.Number{
 		peerpb.Liveness_LIVENESS_ALIVE:   event.MemberAlive,
 		peerpb.Liveness_LIVENESS_SUSPECT: event.MemberSuspect,
 		peerpb.Liveness_LIVENESS_DEAD:    event.MemberDead,
 		peerpb.Liveness_LIVENESS_LEFT:    event.MemberLeft,
 	}
-	e.world.Record(now, numbers[m.Liveness], "", "", m.Host)
+	e.world.Record(now, eventNumbers[m.Liveness], "", "", m.Host)
 }
 
-// maxNamed is the maximum number of hosts named in one event.
-const maxNamed = 4
+// maxNamedHosts is the maximum number of hosts named in one event.
+const maxNamedHosts = 4
 
 // recordJoined records the hosts that have joined since the last tick as a single event:
 // when the whole fleet starts, each host discovers all others within seconds.
@@ -227,8 +227,8 @@
 		return
 	}
 	e.joinedHosts = nil
-	detail := strings.Join(joined[:min(len(joined), maxNamed)], " ")
-	if more := len(joined) - maxNamed; more > 0 {
+	detail := strings.Join(joined[:min(len(joined), maxNamedHosts)], " ")
+	if more := len(joined) - maxNamedHosts; more > 0 {
 		detail += fmt.Sprintf(" and %d more", more)
 	}
 	e.world.Record(now, event.MemberJoined, "", "", detail)
@@ -239,7 +239,7 @@
 	e.world.Record(now, event.MemberRefuted, "", "", "another host reported this host as dead")
 }
 
-func hostRow(m *peerpb.Member) *world.Host {
+func newHost(m *peerpb.Member) *world.Host {
 	return &world.Host{
 		Name:       m.Host,
 		Address:    m.Address,
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// calmTicks is the factor by which an idle host extends its tick interval to reduce
-	// wake-ups. The extended interval must stay well below the freshness of the view (1 s)
-	// and the time after which other hosts take over from a silent reader (1.25 s).
-	calmTicks = 3
+	// idleTickFactor is the factor by which an idle host extends its tick interval to
+	// reduce wake-ups. The extended interval must stay below the freshness of the view
+	// (1 s) and the time after which other hosts take over from a silent reader (1.25 s).
+	idleTickFactor = 3
 
 	// inboxSize is the maximum number of inputs queued for the loop.
 	inboxSize = 4096
@@ -28,9 +28,9 @@
 		case <-ctx.Done():
 			return
 		case input := <-e.inbox:
-			waited := e.interval()
+			previousInterval := e.interval()
 			e.Input(time.Now(), input)
-			if e.interval() < waited {
+			if e.interval() < previousInterval {
 				timer.Reset(e.interval())
 			}
 		case <-timer.C:
@@ -48,17 +48,17 @@
 // interval returns the time until the next tick. It is longer while the host is idle,
 // because wake-ups are costly on hosts that have only a fraction of a CPU core.
 func (e *Engine) interval() time.Duration {
-	if e.calm() {
-		return calmTicks * e.conf.Tick
+	if e.idle() {
+		return idleTickFactor * e.conf.Tick
 	}
 	return e.conf.Tick
 }
 
-// calm reports whether no work is waiting for the next tick. Inputs that need an
-// immediate tick are covered by urgent, and all other timers tolerate a delay of
-// calmTicks intervals.
-func (e *Engine) calm() bool {
-	return e.ready && e.wokeAt.IsZero() && !e.world.Leaving && !e.conf.Forwarding &&
+// idle reports whether no work is waiting for the next tick. Inputs that need an
+// immediate tick are covered by needsImmediateTick, and all other timers tolerate
+// a delay of idleTickFactor intervals.
+func (e *Engine) idle() bool {
+	return e.ready && e.pauseEndedAt.IsZero() && !e.world.Leaving && !e.conf.Forwarding &&
 		e.world.Settled && !configsync.Active(e.world, e.lastTick) && e.members.Calm()
 }
 
@@ -66,15 +66,15 @@
 // on the loop's goroutine.
 func (e *Engine) Input(now time.Time, input func(now time.Time)) {
 	input(now)
-	if e.urgent() {
+	if e.needsImmediateTick() {
 		e.Step(now)
 	}
 }
 
-// urgent reports whether pending work requires an immediate tick, such as a document
-// to fetch, announce or apply. A change propagates over three hosts and would
-// otherwise wait for a tick on each of them.
-func (e *Engine) urgent() bool {
+// needsImmediateTick reports whether pending work cannot wait for the next tick, such
+// as a document to fetch, announce or apply. A change propagates over three hosts and
+// would otherwise wait for a tick on each of them.
+func (e *Engine) needsImmediateTick() bool {
 	w := e.world
 	if w.QuarantineChanged {
 		return true // any matching request accepted until then may crash a backend server
@@ -82,7 +82,7 @@
 	if w.RateLimitsChanged {
 		return true // hosts that do not know the limit yet exceed it
 	}
-	return e.conf.Documents != nil && (len(w.Out.Fetches) > 0 || w.HeadsChanged || w.ServicesChanged || e.headTold)
+	return e.conf.Documents != nil && (len(w.Out.Fetches) > 0 || w.HeadsChanged || w.ServicesChanged || e.headAnnounced)
 }
 
 // Post queues an input for the loop. It returns false if the inbox is full.
@@ -99,9 +99,9 @@
 // has not run and never will, so variables that it writes are safe to use once Do returns.
 func (e *Engine) Do(ctx context.Context, read func(w *world.World, now time.Time)) error {
 	done := make(chan struct{})
-	var taken atomic.Bool // set by the loop when it starts read, or by Do when ctx is done
+	var claimed atomic.Bool // set by the loop when it starts read, or by Do when ctx is done
 	input := func(now time.Time) {
-		if !taken.CompareAndSwap(false, true) {
+		if !claimed.CompareAndSwap(false, true) {
 			return
 		}
 		defer close(done)
@@ -116,7 +116,7 @@
 	case <-done:
 		return nil
 	case <-ctx.Done():
-		if taken.CompareAndSwap(false, true) {
+		if claimed.CompareAndSwap(false, true) {
 			return ctx.Err()
 		}
 		<-done
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -108,7 +108,7 @@
 mutant "a host that stood still is no witness" internal/dispatch/ended.go 's/x.d.snapshot().Fresh(time.Now(), boottime.Suspended())/(x.d.snapshot().Fresh(time.Now(), boottime.Suspended()) || true)/' ./e2e -ginkgo.focus "stood still"
 mutant "an end is checked" internal/dispatch/ended.go 's/fate == upstream.FateEnded \&\& /(fate == upstream.FateEnded || true) \&\& /' ./e2e -ginkgo.focus "evidence that a request"
 mutant "path faults leave half" internal/system/rotation/rotation.go 's|stays := max(p.floor, (len(p.svc.Backends)+1)/2)|stays := p.floor|' ./internal/system/rotation
-mutant "suspension" internal/engine/engine.go 's/pause := max(world.Elapsed(e.lastTick, now), now.Sub(e.lastTick)+slept)/pause := world.Elapsed(e.lastTick, now)/' ./internal/engine
+mutant "suspension" internal/engine/engine.go 's/pause := max(world.Elapsed(e.lastTick, now), now.Sub(e.lastTick)+suspendedFor)/pause := world.Elapsed(e.lastTick, now)/' ./internal/engine
 mutant "spent allowance" internal/policy/pick.go 's/return rule.IdempotentFailure + spent\*/return rule.IdempotentFailure + 0*spent*/' ./internal/policy
 mutant "trouble within a second" internal/policy/breadth.go 's/ || svc.manyUnserved(now, windowBuckets\/2)//' ./internal/policy
 mutant "new hosts ask again" internal/membership/probe.go 's/case l.Live() > youngSyncHosts:/case true:/' ./internal/membership
