--- a/internal/engine/do_test.go
+++ b/internal/engine/do_test.go
@@ -11,16 +11,16 @@
 
 // After Do has returned an error, its caller may read variables that the function writes, so
 // the function must not run later. Do must wait for a function that has already started.
-func TestDoThatIsGivenUp(t *testing.T) {
+func TestDoCancelled(t *testing.T) {
 	e := newEngine()
 	ctx, cancel := context.WithCancel(context.Background())
-	gaveUp := make(chan error)
+	doErr := make(chan error)
 	var ran atomic.Bool
 	go func() {
-		gaveUp <- e.Do(ctx, func(*world.World, time.Time) { ran.Store(true) })
+		doErr <- e.Do(ctx, func(*world.World, time.Time) { ran.Store(true) })
 	}()
 	cancel()
-	if err := <-gaveUp; err == nil {
+	if err := <-doErr; err == nil {
 		t.Fatal("Do succeeded although the loop is not running")
 	}
 	running, stop := context.WithCancel(context.Background())
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -17,17 +17,17 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// ignored implements engine.Effects and does nothing.
-type ignored struct{}
+// noEffects implements engine.Effects and does nothing.
+type noEffects struct{}
 
-func (ignored) Send([]membership.Packet)           {}
-func (ignored) Fetch(world.Fetch)                  {}
-func (ignored) Probe(world.Probe)                  {}
-func (ignored) SyncWith(string)                    {}
-func (ignored) Event(event.Event)                  {}
-func (ignored) Reading(bool)                       {}
-func (ignored) StopRequested()                     {}
-func (ignored) Ticked(time.Duration, *world.World) {}
+func (noEffects) Send([]membership.Packet)           {}
+func (noEffects) Fetch(world.Fetch)                  {}
+func (noEffects) Probe(world.Probe)                  {}
+func (noEffects) SyncWith(string)                    {}
+func (noEffects) Event(event.Event)                  {}
+func (noEffects) Reading(bool)                       {}
+func (noEffects) StopRequested()                     {}
+func (noEffects) Ticked(time.Duration, *world.World) {}
 
 func newEngine() *engine.Engine { return newEngineWith(nil) }
 
@@ -37,7 +37,7 @@
 		Self:      world.Identity{Host: "h1", Address: "10.0.0.1:1", DataCentre: "dc1"},
 		Tick:      100 * time.Millisecond, Freshness: time.Second, Seeds: []string{"10.0.0.2:1"},
 		Membership: membership.Config{Host: "h1", Address: "10.0.0.1:1", DataCentre: "dc1", ProbeInterval: time.Second, ProbeTimeout: 400 * time.Millisecond, GossipInterval: 100 * time.Millisecond},
-	}, &hlc.Clock{}, ignored{}, epoch)
+	}, &hlc.Clock{}, noEffects{}, epoch)
 }
 
 // A new host that got an old revision from a stale platform must not become ready
--- a/internal/engine/fuzz_test.go
+++ b/internal/engine/fuzz_test.go
@@ -41,12 +41,12 @@
 		e := newEngine()
 		e.Datagram(epoch, "10.0.0.2:1", d)
 		e.Step(epoch.Add(100 * time.Millisecond))
-		receiveApart(d)
+		updateTables(d)
 	})
 }
 
-// receiveApart passes a message to the tables that are updated outside the control loop.
-func receiveApart(d *peerpb.Datagram) {
+// updateTables passes a message to the tables that are updated outside the control loop.
+func updateTables(d *peerpb.Datagram) {
 	loads := policy.NewTable(epoch, policy.Config{Cost: policy.DefaultCostRule(), Random: rand.New(rand.NewPCG(1, 1)), Retry: policy.RetryRule{Share: 0.2, Window: 10 * time.Second}})
 	loads.Report(epoch, d.From, d.Life, d.Loads, d.Near)
 	loads.Refresh(epoch.Add(time.Second))
--- a/internal/engine/servers_test.go
+++ b/internal/engine/servers_test.go
@@ -24,7 +24,7 @@
 
 // fetchCollector records the fetches requested by ticks.
 type fetchCollector struct {
-	ignored
+	noEffects
 	fetches []world.Fetch
 }
 
@@ -128,7 +128,7 @@
 
 // A host that cannot apply a change requests the complete list, continues with the servers that
 // it has, and accepts the complete list even under the revision that it already holds.
-func TestWholeListIsAskedFor(t *testing.T) {
+func TestWholeListIsRequested(t *testing.T) {
 	h := newDirectHost(t, 9)
 	h.document(6, &config.Discovered{Base: 5, Removed: []string{registered(1, 1).ID}})
 	fetches := h.fetches.fetches
@@ -161,7 +161,7 @@
 
 // A server has a join time on a host only if it joined a service that the host already knew, not
 // if it was in the host's first list or entered the host's subset.
-func TestOnlyServersThatJoinAreNew(t *testing.T) {
+func TestOnlyJoinedServersHaveJoinTime(t *testing.T) {
 	h := newDirectHost(t, 9)
 	h.deliver(2, &config.Discovered{Base: 1, Backends: []config.DiscoveredBackend{registered(9, 1)}})
 	for _, b := range h.Snapshot().Services["shop"].Backends {
--- a/internal/engine/serviceview.go
+++ b/internal/engine/serviceview.go
@@ -23,40 +23,40 @@
 	view.Backends = make([]world.BackendView, 0, len(svc.Backends))
 	for i, b := range svc.Backends {
 		if b.Rotation.In {
-			view.Backends = append(view.Backends, backendView(b, shareOf(b.Config.Slots, i, position, len(active))))
+			view.Backends = append(view.Backends, backendView(b, slotShare(b.Config.Slots, i, position, len(active))))
 		}
 	}
 	v.addOwners(w, svc, view)
 	if !v.forwarding {
-		view.Sharing = shareAmong(v.services[svc.Config.Name], view.Backends)
+		view.Sharing = updateRings(v.services[svc.Config.Name], view.Backends)
 		v.chooseSubset(view)
 	}
 	return view
 }
 
-// shareAmong returns the hash rings of the servers in rotation, derived from those of the
-// previous view by adding and removing the servers that changed. before may be nil.
-func shareAmong(before *world.ServiceView, backends []world.BackendView) *sharing.Service {
-	var held []world.BackendView
+// updateRings returns the hash rings of the servers in rotation, derived from those of the
+// previous view by adding and removing the servers that changed. previous may be nil.
+func updateRings(previous *world.ServiceView, backends []world.BackendView) *sharing.Service {
+	var previousBackends []world.BackendView
 	rings := &sharing.Service{}
-	if before != nil && before.Sharing != nil {
-		held, rings = before.Backends, before.Sharing
+	if previous != nil && previous.Sharing != nil {
+		previousBackends, rings = previous.Backends, previous.Sharing
 	}
 	var joined, left []sharing.Server
-	for len(held) > 0 || len(backends) > 0 {
+	for len(previousBackends) > 0 || len(backends) > 0 {
 		switch {
-		case len(held) == 0 || len(backends) > 0 && backends[0].ID < held[0].ID:
-			joined = append(joined, serverOnRing(&backends[0]))
+		case len(previousBackends) == 0 || len(backends) > 0 && backends[0].ID < previousBackends[0].ID:
+			joined = append(joined, ringServer(&backends[0]))
 			backends = backends[1:]
-		case len(backends) == 0 || held[0].ID < backends[0].ID:
-			left = append(left, serverOnRing(&held[0]))
-			held = held[1:]
+		case len(backends) == 0 || previousBackends[0].ID < backends[0].ID:
+			left = append(left, ringServer(&previousBackends[0]))
+			previousBackends = previousBackends[1:]
 		default:
-			if held[0].DataCentre != backends[0].DataCentre {
-				left = append(left, serverOnRing(&held[0]))
-				joined = append(joined, serverOnRing(&backends[0]))
+			if previousBackends[0].DataCentre != backends[0].DataCentre {
+				left = append(left, ringServer(&previousBackends[0]))
+				joined = append(joined, ringServer(&backends[0]))
 			}
-			held, backends = held[1:], backends[1:]
+			previousBackends, backends = previousBackends[1:], backends[1:]
 		}
 	}
 	if len(joined)+len(left) == 0 {
@@ -65,7 +65,7 @@
 	return rings.With(joined, left)
 }
 
-func serverOnRing(b *world.BackendView) sharing.Server {
+func ringServer(b *world.BackendView) sharing.Server {
 	return sharing.Server{Name: b.ID, DataCentre: b.DataCentre}
 }
 
@@ -85,11 +85,11 @@
 	}
 }
 
-// shareOf returns an owner's share of a server's slots, which are divided evenly
+// slotShare returns an owner's share of a server's slots, which are divided evenly
 // among the active owners. The remainder rotates over the owners from server to
 // server, so that totals stay balanced. All owners compute the same shares from
 // the same list.
-func shareOf(slots, server, owner, owners int) int {
+func slotShare(slots, server, owner, owners int) int {
 	if owner < 0 || owners == 0 {
 		return 0
 	}
@@ -120,9 +120,9 @@
 	}
 	next := make(map[string]*world.ServiceView, len(v.services))
 	for name, view := range v.services {
-		renewed := *view
-		v.chooseSubset(&renewed)
-		next[name] = &renewed
+		updated := *view
+		v.chooseSubset(&updated)
+		next[name] = &updated
 	}
 	v.services = next
 }
@@ -139,11 +139,11 @@
 	}
 }
 
-// limitCold adds the rate limits for cold servers to the limits set by the servers
+// applyColdLimits adds the rate limits for cold servers to the limits set by the servers
 // themselves.
-func (v *viewBuilder) limitCold(w *world.World, now time.Time) {
+func (v *viewBuilder) applyColdLimits(w *world.World, now time.Time) {
 	var cold []ratelimit.Cold
-	v.coldChanges = time.Time{}
+	v.nextWarmAt = time.Time{}
 	for name, svc := range w.Services {
 		if svc.Config.ColdPerSecond <= 0 {
 			continue
@@ -154,8 +154,8 @@
 			}
 			server := process.Server{Service: name, ID: b.Config.ID, Started: b.Config.Started}
 			cold = append(cold, ratelimit.Cold{Server: server, PerSecond: svc.Config.ColdPerSecond, Until: b.ColdUntil})
-			if v.coldChanges.IsZero() || b.ColdUntil.Before(v.coldChanges) {
-				v.coldChanges = b.ColdUntil
+			if v.nextWarmAt.IsZero() || b.ColdUntil.Before(v.nextWarmAt) {
+				v.nextWarmAt = b.ColdUntil
 			}
 		}
 	}
--- a/internal/engine/views.go
+++ b/internal/engine/views.go
@@ -25,7 +25,7 @@
 	claimants         []rendezvous.Node
 	claimantAddresses map[string]string
 	hostListRevision  uint64
-	hosts             int
+	hostCount         int
 	revisions         map[string]uint64
 	sharing           *sharing.Fleet
 	hostsVersion      uint64
@@ -35,8 +35,8 @@
 	fleetSize         int
 	quarantine        *quarantine.View
 	rateLimits        *ratelimit.View
-	// coldChanges is when the next cold server will be warm, zero if there is none.
-	coldChanges time.Time
+	// nextWarmAt is when the next cold server will be warm, zero if there is none.
+	nextWarmAt time.Time
 }
 
 func newViewBuilder(forwarding bool) *viewBuilder {
@@ -62,9 +62,9 @@
 	if w.RateLimitsChanged {
 		v.rateLimits = ratelimit.ViewOf(w.Registers)
 	}
-	isWarm := !v.coldChanges.IsZero() && !now.Before(v.coldChanges)
+	isWarm := !v.nextWarmAt.IsZero() && !now.Before(v.nextWarmAt)
 	if w.RateLimitsChanged || servicesChanged || isWarm {
-		v.limitCold(w, now)
+		v.applyColdLimits(w, now)
 		w.RateLimitsChanged = false
 	}
 	return &world.Snapshot{
@@ -142,11 +142,11 @@
 
 // buildRevisions copies the revisions of all documents if any of them has changed.
 func (v *viewBuilder) buildRevisions(w *world.World) {
-	same := len(v.revisions) == len(w.Documents)
+	unchanged := len(v.revisions) == len(w.Documents)
 	for key, doc := range w.Documents {
-		same = same && v.revisions[key] == doc.Revision
+		unchanged = unchanged && v.revisions[key] == doc.Revision
 	}
-	if same {
+	if unchanged {
 		return
 	}
 	v.revisions = make(map[string]uint64, len(w.Documents))
@@ -193,11 +193,11 @@
 // list or, without one, every host ever heard of.
 func (v *viewBuilder) buildClaimants(w *world.World) {
 	revision := w.Document(world.KeyHosts).Revision
-	if v.claimants != nil && revision == v.hostListRevision && (revision > 0 || len(w.Hosts) == v.hosts) {
+	if v.claimants != nil && revision == v.hostListRevision && (revision > 0 || len(w.Hosts) == v.hostCount) {
 		return
 	}
 	v.hostListRevision = revision
-	v.hosts = len(w.Hosts)
+	v.hostCount = len(w.Hosts)
 	v.claimants = nil
 	v.claimantAddresses = make(map[string]string)
 	for _, h := range w.HostList.Hosts {
--- a/internal/world/latency.go
+++ b/internal/world/latency.go
@@ -11,11 +11,11 @@
 
 	// slowFactor is the multiple of the median above which a response is slow.
 	slowFactor = 3
-	// slowSlack is added to the threshold so that jitter of fast services does not
+	// slowMargin is added to the threshold so that jitter of fast services does not
 	// count as slow.
-	slowSlack = 5 * time.Millisecond
-	// medianEvery is the number of additions after which the median is recomputed.
-	medianEvery = 16
+	slowMargin = 5 * time.Millisecond
+	// medianInterval is the number of additions after which the median is recomputed.
+	medianInterval = 16
 )
 
 // LatencySample estimates the usual time to first byte of a service from its most
@@ -36,7 +36,7 @@
 		s.next = (s.next + 1) % latencySampleSize
 	}
 	s.added++
-	if s.added%medianEvery == 0 {
+	if s.added%medianInterval == 0 {
 		sorted := slices.Clone(s.values)
 		slices.Sort(sorted)
 		s.median = sorted[len(sorted)/2]
@@ -58,5 +58,5 @@
 	if median == 0 {
 		return 0
 	}
-	return slowFactor*median + slowSlack
+	return slowFactor*median + slowMargin
 }
--- a/internal/world/outbox.go
+++ b/internal/world/outbox.go
@@ -59,7 +59,7 @@
 
 // Take returns the contents of the outbox and empties it.
 func (o *Outbox) Take() Outbox {
-	taken := *o
+	contents := *o
 	*o = Outbox{}
-	return taken
+	return contents
 }
--- a/internal/world/snapshot.go
+++ b/internal/world/snapshot.go
@@ -74,12 +74,12 @@
 // Within returns a copy of the view that has only the servers of allowed data centres.
 func (v *ServiceView) Within(allowed func(dataCentre string) bool) *ServiceView {
 	outside := func(b BackendView) bool { return !allowed(b.DataCentre) }
-	within := *v
-	within.Backends = slices.DeleteFunc(slices.Clone(v.Backends), outside)
+	restricted := *v
+	restricted.Backends = slices.DeleteFunc(slices.Clone(v.Backends), outside)
 	if v.Subset != nil {
-		within.Subset = slices.DeleteFunc(slices.Clone(v.Subset), outside)
+		restricted.Subset = slices.DeleteFunc(slices.Clone(v.Subset), outside)
 	}
-	return &within
+	return &restricted
 }
 
 // Backend returns the server in rotation with the given ID, or nil.
