--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -93,7 +93,7 @@
 // While a machine is suspended the monotonic clock stands still, and the wall clock may be
 // set back at the same time. Neither then shows the pause; only CLOCK_BOOTTIME does.
 func TestSuspensionMakesTheViewStale(t *testing.T) {
-	for _, slept := range []time.Duration{3 * time.Second, time.Minute} {
+	for _, suspension := range []time.Duration{3 * time.Second, time.Minute} {
 		suspended := 5 * time.Hour
 		e := newEngineWith(func() time.Duration { return suspended })
 		e.Merge(epoch, []*peerpb.Member{{Host: "h2", Address: "10.0.0.2:1", DataCentre: "dc1", Incarnation: 1}}, nil, 0)
@@ -102,20 +102,20 @@
 		if !e.Snapshot().Fresh(now, suspended) {
 			t.Fatal("new view is stale")
 		}
-		suspended += slept
+		suspended += suspension
 		now = now.Add(100 * time.Millisecond)
 		if e.Snapshot().Fresh(now, suspended) {
-			t.Errorf("view from before a suspension of %s is fresh", slept)
+			t.Errorf("view from before a suspension of %s is fresh", suspension)
 		}
 		e.Step(now)
 		if e.Snapshot().Fresh(now, suspended) {
-			t.Errorf("view is fresh after a suspension of %s before another host was heard from", slept)
+			t.Errorf("view is fresh after a suspension of %s before another host was heard from", suspension)
 		}
 		later := now.Add(200 * time.Millisecond)
 		e.Datagram(later, "10.0.0.2:1", &peerpb.Datagram{Kind: peerpb.Datagram_KIND_GOSSIP, From: "h2"})
 		e.Step(later.Add(100 * time.Millisecond))
 		if !e.Snapshot().Fresh(later.Add(200*time.Millisecond), suspended) {
-			t.Errorf("view is stale after a suspension of %s although another host was heard from", slept)
+			t.Errorf("view is stale after a suspension of %s although another host was heard from", suspension)
 		}
 	}
 }
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -95,17 +95,17 @@
 	}
 }
 
-// Do runs read on the loop's goroutine and waits for it to finish. An error means that read
-// has not run and never will, so variables that it writes are safe to use once Do returns.
-func (e *Engine) Do(ctx context.Context, read func(w *world.World, now time.Time)) error {
+// Do runs f on the loop's goroutine and waits for it to finish. An error means that f has
+// not run and never will, so variables that f writes are safe to use once Do returns.
+func (e *Engine) Do(ctx context.Context, f func(w *world.World, now time.Time)) error {
 	done := make(chan struct{})
-	var claimed atomic.Bool // set by the loop when it starts read, or by Do when ctx is done
+	var claimed atomic.Bool // set by the loop when it starts f, or by Do when ctx is done
 	input := func(now time.Time) {
 		if !claimed.CompareAndSwap(false, true) {
 			return
 		}
 		defer close(done)
-		read(e.world, now)
+		f(e.world, now)
 	}
 	select {
 	case e.inbox <- input:
--- a/internal/world/snapshot.go
+++ b/internal/world/snapshot.go
@@ -140,8 +140,8 @@
 // the total time that the machine has been suspended since boot. It is needed because
 // FreshUntil is compared by the monotonic clock, which stands still during a suspension.
 func (s *Snapshot) Fresh(now time.Time, suspended time.Duration) bool {
-	slept := suspended - s.Suspended
-	return !Passed(now, s.FreshUntil) && now.Add(slept).Sub(s.FreshUntil) <= 0
+	suspendedSince := suspended - s.Suspended
+	return !Passed(now, s.FreshUntil) && now.Add(suspendedSince).Sub(s.FreshUntil) <= 0
 }
 
 // SharedService returns the hash rings of a service's servers, or nil if there is no such
