--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -180,8 +180,9 @@
 	e.publish(now)
 }
 
-// detectPause marks the view stale if this process has not run for longer than
-// Freshness, and fresh again once another host has been heard from since.
+// detectPause marks the view stale if this process was paused for longer than
+// Freshness, and fresh again once another host has been heard from since then, or
+// if no other host is live.
 func (e *Engine) detectPause(now time.Time) {
 	suspended := e.conf.Suspended()
 	suspendedFor := suspended - e.world.Suspended
@@ -190,7 +191,7 @@
 	e.world.Suspended = suspended
 	if pause > e.conf.Freshness {
 		e.pauseEndedAt = now
-		e.world.FreshUntil = now.Add(-time.Nanosecond) // by the monotonic clock it may still lie in the future
+		e.world.FreshUntil = now.Add(-time.Nanosecond) // the old value may still be ahead by the monotonic clock
 		e.world.Record(now, event.HostPaused, "", "", pause.Round(time.Millisecond).String()+", including suspended time of "+suspendedFor.Round(time.Millisecond).String())
 	}
 	if e.pauseEndedAt.IsZero() {
