--- a/internal/explain/account.go
+++ b/internal/explain/account.go
@@ -6,34 +6,34 @@
 	"strconv"
 )
 
-// Grouping says by what an account is kept beside the cause.
+// Grouping selects what the rows of an account are grouped by, in addition to the cause.
 type Grouping string
 
-// Groupings.
 const (
-	ByCause    Grouping = "cause" // by nothing else
+	ByCause    Grouping = "cause" // no additional grouping
 	ByService  Grouping = "service"
 	ByCustomer Grouping = "customer"
 	BySecond   Grouping = "second"
 )
 
-// AccountRow counts requests that were not served, of one cause and group.
+// AccountRow counts the unserved requests of one cause and group.
 type AccountRow struct {
 	Cause CauseKind
 	// Group is the service, customer or second, empty for ByCause.
 	Group string
-	// NotRun were refused, Lost ended otherwise without a success.
+	// NotRun counts requests that were refused without being run. Lost counts those that failed in
+	// any other way.
 	NotRun int
 	Lost   int
 }
 
-// Account sums the requests that were not served by why.
+// Account counts unserved requests by cause.
 type Account struct {
 	Rows []AccountRow // most requests first
-	// Unserved is the sum of the rows; Missed counts requests, served or not, that hosts
-	// wrote no line about.
+	// Unserved is the sum of the rows. Unlogged counts requests, served or not, for which hosts did
+	// not write a log line.
 	Unserved int
-	Missed   int
+	Unlogged int
 }
 
 type accountKey struct {
@@ -41,17 +41,17 @@
 	group string
 }
 
-// Account sums all requests in the logs.
+// Account counts the unserved requests of all logs.
 func (l *Logs) Account(by Grouping) Account {
 	var account Account
 	rows := make(map[accountKey]*AccountRow)
 	for _, r := range l.requests {
-		account.Missed += r.missed()
+		account.Unlogged += r.missed()
 		if r.served() {
 			continue
 		}
 		account.Unserved++
-		key := accountKey{l.cause(r, parseTries(r.fields["tries"])).Kind, r.group(by)}
+		key := accountKey{l.cause(r, parseAttempts(r.fields["tries"])).Kind, r.group(by)}
 		row, known := rows[key]
 		if !known {
 			row = &AccountRow{Cause: key.cause, Group: key.group}
@@ -72,8 +72,7 @@
 	return account
 }
 
-// served reports whether the caller got a success, or the server's own word that the
-// request is wrong.
+// served reports whether the caller received a success or a client error (4xx) from the server.
 func (l line) served() bool {
 	status, err := strconv.Atoi(l.fields["status"])
 	return err == nil && l.fields["outcome"] == "complete" && status < 500
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -8,87 +8,87 @@
 )
 
 const (
-	// around is how far other lines may lie from the request to count: spells of
-	// failures last some 10 s.
-	around = 5 * time.Second
-	// known is the belief from which on a server was held for failing.
-	known = 0.5
+	// contextWindow is the largest time between a request and another line that is considered related.
+	// Failures of a server typically last about 10 s.
+	contextWindow = 5 * time.Second
+	// failingBelief is the lowest belief at which a server is considered failing.
+	failingBelief = 0.5
 )
 
-// Report is what the logs say of a request.
+// Report is what the logs show about a request.
 type Report struct {
 	Request string
-	// Cause is one sentence.
+	// Cause explains the outcome in one sentence.
 	Cause string
-	// Steps are what happened, in order; Around are what else the logs show of
+	// Steps lists what happened to the request, in order. Context lists what else the logs show about
 	// the hosts and servers at that time.
-	Steps  []string
-	Around []string
+	Steps   []string
+	Context []string
 }
 
-// Request explains one request. One without a line is explained by what the
-// hosts did at any time.
+// Request explains one request. If no host logged it, the report lists host restarts and unlogged
+// requests of the whole period instead.
 func (l *Logs) Request(id string) Report {
 	report := Report{Request: id}
 	i := slices.IndexFunc(l.requests, func(r line) bool { return r.fields["request"] == id })
 	if i < 0 {
-		l.withoutLine(&report)
+		l.explainUnlogged(&report)
 		return report
 	}
 	r := l.requests[i]
-	tries := parseTries(r.fields["tries"])
+	attempts := parseAttempts(r.fields["tries"])
 	report.Steps = append(report.Steps, fmt.Sprintf("%s %s answers for service %s: outcome %s, status %s, after %s, %s before the deadline, configuration version %s",
 		r.at.Format(time.TimeOnly), r.host, r.fields["service"], r.fields["outcome"], r.fields["status"], r.fields["took"], r.fields["left"], r.fields["version"]))
-	for n, t := range tries {
-		report.Steps = append(report.Steps, fmt.Sprintf("try %d: %s", n+1, t.step()))
+	for n, t := range attempts {
+		report.Steps = append(report.Steps, fmt.Sprintf("attempt %d: %s", n+1, t.describe()))
 	}
 	if reason := r.fields["reason"]; reason != "" {
 		report.Steps = append(report.Steps, "reason given: "+reason)
 	}
-	report.Cause = l.cause(r, tries).Text
-	for _, t := range tries {
-		report.Around = append(report.Around, l.serverAround(r, t.server))
+	report.Cause = l.cause(r, attempts).Text
+	for _, t := range attempts {
+		report.Context = append(report.Context, l.serverContext(r, t.server))
 	}
-	report.Around = append(report.Around, l.eventsAround(r)...)
+	report.Context = append(report.Context, l.eventContext(r)...)
 	return report
 }
 
-// withoutLine explains a request that no host has a line about.
-func (l *Logs) withoutLine(report *Report) {
-	report.Cause = "no host has a line about it: it was served at the first try within a second, its line did not fit (missed= on later lines), or its host was killed or cut off before it could answer"
+// explainUnlogged explains a request that no host logged.
+func (l *Logs) explainUnlogged(report *Report) {
+	report.Cause = "no host has a line about it: it was served at the first attempt within a second, its line was dropped (missed= on later lines), or its host was killed or cut off before it could answer"
 	for _, e := range l.events {
 		if slices.Contains([]string{"host-started", "host-paused", "host-stopping", "member-dead"}, e.message) {
-			report.Around = append(report.Around, describe(e))
+			report.Context = append(report.Context, formatEvent(e))
 		}
 	}
 	for _, r := range l.requests {
 		if missed := r.fields["missed"]; missed != "" && missed != "0" {
-			report.Around = append(report.Around, fmt.Sprintf("%s %s wrote no line about %s requests", r.at.Format(time.TimeOnly), r.host, missed))
+			report.Context = append(report.Context, fmt.Sprintf("%s %s did not log %s requests", r.at.Format(time.TimeOnly), r.host, missed))
 		}
 	}
 }
 
-// usualTime is the median time of good answers of a service, 0 if the logs have
-// none.
-func (l *Logs) usualTime(service string) time.Duration {
-	if l.usual == nil {
-		l.usual = make(map[string]time.Duration)
+// typicalLatency returns the median latency of successful attempts of a service, or 0 if the logs
+// contain none.
+func (l *Logs) typicalLatency(service string) time.Duration {
+	if l.typicalLatencies == nil {
+		l.typicalLatencies = make(map[string]time.Duration)
 	}
-	usual, known := l.usual[service]
+	typical, known := l.typicalLatencies[service]
 	if !known {
-		usual = l.medianTime(service)
-		l.usual[service] = usual
+		typical = l.medianLatency(service)
+		l.typicalLatencies[service] = typical
 	}
-	return usual
+	return typical
 }
 
-func (l *Logs) medianTime(service string) time.Duration {
+func (l *Logs) medianLatency(service string) time.Duration {
 	var times []time.Duration
 	for _, r := range l.requests {
 		if r.fields["service"] != service {
 			continue
 		}
-		for _, t := range parseTries(r.fields["tries"]) {
+		for _, t := range parseAttempts(r.fields["tries"]) {
 			if strings.HasPrefix(t.result, "answered/2") {
 				times = append(times, t.took)
 			}
@@ -101,14 +101,14 @@
 	return times[len(times)/2]
 }
 
-// serverAround counts what other requests met at a server at that time.
-func (l *Logs) serverAround(r line, server string) string {
+// serverContext summarises the attempts of other requests at a server at that time.
+func (l *Logs) serverContext(r line, server string) string {
 	failed, all := 0, 0
 	for _, other := range l.requests {
-		if other.fields["request"] == r.fields["request"] || distance(other.at, r.at) > around {
+		if other.fields["request"] == r.fields["request"] || timeBetween(other.at, r.at) > contextWindow {
 			continue
 		}
-		for _, t := range parseTries(other.fields["tries"]) {
+		for _, t := range parseAttempts(other.fields["tries"]) {
 			if t.server != server || t.abandoned() {
 				continue
 			}
@@ -118,26 +118,26 @@
 			}
 		}
 	}
-	return fmt.Sprintf("server %s within %s: %d of the %d other logged tries failed (good ones are logged one in a hundred)", server, around, failed, all)
+	return fmt.Sprintf("server %s within %s: %d of the %d other logged attempts failed (one in a hundred successful ones is logged)", server, contextWindow, failed, all)
 }
 
-// eventsAround lists what the request's host and its servers went through.
-func (l *Logs) eventsAround(r line) []string {
+// eventContext lists the events of the request's host and of its servers at that time.
+func (l *Logs) eventContext(r line) []string {
 	var found []string
 	for _, e := range l.events {
-		if distance(e.at, r.at) > around {
+		if timeBetween(e.at, r.at) > contextWindow {
 			continue
 		}
 		concerns := e.host == r.host && e.fields["event"] != "" && e.message != "config-applied" && e.message != "member-joined" && e.message != "member-alive"
 		if concerns || e.fields["backend"] != "" && strings.Contains(r.fields["tries"], e.fields["backend"]) {
-			found = append(found, describe(e))
+			found = append(found, formatEvent(e))
 		}
 	}
 	return found
 }
 
-func distance(a, b time.Time) time.Duration { return a.Sub(b).Abs() }
+func timeBetween(a, b time.Time) time.Duration { return a.Sub(b).Abs() }
 
-func describe(e line) string {
+func formatEvent(e line) string {
 	return strings.Join(strings.Fields(fmt.Sprintf("%s %s %s %s %s", e.at.Format(time.TimeOnly), e.host, e.message, e.fields["backend"], e.fields["detail"])), " ")
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -9,7 +9,7 @@
 	"github.com/pearshelf/pearshelf/internal/explain"
 )
 
-// Lines as hosts write them; the second host's have its name before them.
+// Log lines as hosts write them. Those of the second host have its name as a prefix.
 const logs = `
 I0406 12:52:20.000000   14785 trace.go:110] "request" request="good1" service="checkout" idempotent=false outcome="complete" status=200 reason="" took="210ms" left="2.79s" version=4 servers=16 tries="b1 answered/200 took=210ms belief=0.01 load=1.0" missed=0
 I0406 12:52:21.000000   14785 trace.go:110] "request" request="other" service="checkout" idempotent=false outcome="complete" status=500 reason="" took="2ms" left="2.99s" version=4 servers=16 tries="b7 answered/500 took=2ms belief=0.90 load=0.0" missed=0
@@ -35,7 +35,8 @@
 	return l
 }
 
-// The three walks of docs/OPERATIONS.md, and the request's own error.
+// Covers the three walk-throughs of docs/OPERATIONS.md, an error caused by the request itself, and the
+// other causes. Guards against a request being explained by the wrong cause.
 func TestCauses(t *testing.T) {
 	l := read(t)
 	for id, want := range map[string][]string{
@@ -44,7 +45,7 @@
 		"shed":    {"overload: 2 servers refused", "has not run"},
 		"copied":  {"server b1 answered it"},
 		"other":   {"known to fail (belief 0.90)"},
-		"limited": {"customer fan was beyond its limit", "3 requests a second", "has not run"},
+		"limited": {"customer fan was beyond its fleet-wide limit", "3 requests a second", "has not run"},
 		"keyless": {"no customer holds the key", "has not run"},
 		"ended":   {"b5 ended while it had the request", "may have run", "must not run twice"},
 		"held":    {"refused, because 3 servers ended", "b6 3s ago by h2", "has not run"},
@@ -60,25 +61,25 @@
 	}
 }
 
-func TestWhatElseTheLogsShow(t *testing.T) {
+func TestReportShowsRelatedLines(t *testing.T) {
 	l := read(t)
-	lost := strings.Join(l.Request("lost").Around, "\n")
-	if !strings.Contains(lost, "server b7 within 5s: 1 of the 1 other logged tries failed") {
-		t.Errorf("around the lost request: %s", lost)
+	lost := strings.Join(l.Request("lost").Context, "\n")
+	if !strings.Contains(lost, "server b7 within 5s: 1 of the 1 other logged attempts failed") {
+		t.Errorf("context of the lost request: %s", lost)
 	}
-	gone := strings.Join(l.Request("gone").Around, "\n")
+	gone := strings.Join(l.Request("gone").Context, "\n")
 	if !strings.Contains(gone, "12:52:24 h2 host-started dc1") {
-		t.Errorf("around the request without a line: %s", gone)
+		t.Errorf("context of the unlogged request: %s", gone)
 	}
 	steps := strings.Join(l.Request("shed").Steps, "\n")
-	for _, part := range []string{`reason given: backend-server-shed: "b3" refused`, "3.0 requests there, returning:said-3.1s-ago; it said with its answer: rest:3s"} {
+	for _, part := range []string{`reason given: backend-server-shed: "b3" refused`, "3.0 requests in progress there, returning:said-3.1s-ago; the server reported in its response: rest:3s"} {
 		if !strings.Contains(steps, part) {
 			t.Errorf("steps of the refused request lack %q: %s", part, steps)
 		}
 	}
 }
 
-// Each request that was not served is counted once, by its cause.
+// Guards against unserved requests that are counted twice, not at all or under the wrong cause.
 func TestAccount(t *testing.T) {
 	account := read(t).Account(explain.ByCause)
 	counted := map[explain.CauseKind][2]int{}
@@ -88,20 +89,20 @@
 		sum += row.NotRun + row.Lost
 	}
 	want := map[explain.CauseKind][2]int{
-		explain.CauseNewSpell:    {0, 1},
-		explain.CauseKnownSpell:  {0, 1},
-		explain.CauseOwnError:    {0, 1},
-		explain.CauseShed:        {1, 0},
-		explain.CauseLimit:       {1, 0},
-		explain.CauseUnknownKey:  {1, 0},
-		explain.CauseServerEnded: {0, 1},
-		explain.CauseQuarantined: {1, 0},
-		explain.CauseRateLimits:  {1, 0},
+		explain.CauseServerNewlyFailing: {0, 1},
+		explain.CauseServerKnownFailing: {0, 1},
+		explain.CauseRequestError:       {0, 1},
+		explain.CauseShed:               {1, 0},
+		explain.CauseLimit:              {1, 0},
+		explain.CauseUnknownKey:         {1, 0},
+		explain.CauseServerEnded:        {0, 1},
+		explain.CauseQuarantined:        {1, 0},
+		explain.CauseRateLimits:         {1, 0},
 	}
 	if !maps.Equal(counted, want) || sum != account.Unserved {
 		t.Errorf("counted %v of %d, want %v", counted, account.Unserved, want)
 	}
 	if rows := read(t).Account(explain.ByCustomer).Rows; !slices.ContainsFunc(rows, func(r explain.AccountRow) bool { return r.Group == "fan" && r.NotRun == 1 }) {
-		t.Errorf("no row of the customer: %v", rows)
+		t.Errorf("no row for customer fan: %v", rows)
 	}
 }
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -1,5 +1,5 @@
-// Package explain finds out from the logs of a fleet what became of a request,
-// and why. It reads the lines that pearshelfd writes and nothing else.
+// Package explain determines from the logs of a fleet what happened to a request, and why. Its only
+// input is the lines that pearshelfd writes.
 package explain
 
 import (
@@ -14,29 +14,29 @@
 	"github.com/pearshelf/pearshelf/internal/errs"
 )
 
-// maxLineBytes bounds a line; longer ones end the reading of a log.
+// maxLineBytes is the maximum length of a line. A longer line makes Read fail.
 const maxLineBytes = 1 << 20
 
-// header is klog's: severity and date, time, process, place. A log that was
-// gathered from many hosts may have the host's name before it.
+// headerPattern matches the header of a klog line: severity and date, time, process and source location.
+// In a log collected from many hosts it may be preceded by the host's name.
 var (
-	header = regexp.MustCompile(`^(.*?)\b[IWEF](\d{4} \d{2}:\d{2}:\d{2}\.\d{6}) +\d+ [^\]]+\] "((?:[^"\\]|\\.)*)"(.*)$`)
-	field  = regexp.MustCompile(`(\w+)=("(?:[^"\\]|\\.)*"|\S+)`)
+	headerPattern = regexp.MustCompile(`^(.*?)\b[IWEF](\d{4} \d{2}:\d{2}:\d{2}\.\d{6}) +\d+ [^\]]+\] "((?:[^"\\]|\\.)*)"(.*)$`)
+	fieldPattern  = regexp.MustCompile(`(\w+)=("(?:[^"\\]|\\.)*"|\S+)`)
 )
 
-const timeLayout = "0102 15:04:05.000000" // klog gives no year
+const timeLayout = "0102 15:04:05.000000" // klog does not write the year
 
-// line is one decision that a host logged.
+// line is a parsed line of a host's log.
 type line struct {
 	at      time.Time
-	host    string // from the prefix or the log's name
+	host    string // from the prefix of the line or the name of the log
 	message string
 	fields  map[string]string
 }
 
-// parseLine reads a line of a host's log; ok is false for any other text.
+// parseLine parses a line of a host's log. ok is false if text is not a klog line.
 func parseLine(text, host string) (l line, ok bool) {
-	m := header.FindStringSubmatch(text)
+	m := headerPattern.FindStringSubmatch(text)
 	if m == nil {
 		return line{}, false
 	}
@@ -48,14 +48,14 @@
 		host = prefix[len(prefix)-1]
 	}
 	l = line{at: at, host: host, message: m[3], fields: make(map[string]string)}
-	for _, f := range field.FindAllStringSubmatch(m[4], -1) {
+	for _, f := range fieldPattern.FindAllStringSubmatch(m[4], -1) {
 		l.fields[f[1]] = unquote(f[2])
 	}
 	return l, true
 }
 
-// missed is how many lines of its kind the host left out before this one, 0 where an older log
-// does not tell.
+// missed returns the number of lines of the same kind that the host omitted before this one, or 0 if
+// the log is of an older version without this field.
 func (l line) missed() int {
 	missed, err := strconv.Atoi(l.fields["missed"])
 	if err != nil {
@@ -71,37 +71,38 @@
 	return value
 }
 
-// try is one send of a request to a backend server, as its line tells it.
-type try struct {
-	server string
-	result string // such as answered/500, not-run/503, dial-failed
-	took   time.Duration
-	belief float64 // that the server was failing, when it was picked
-	load   float64 // requests that it had then
-	fate   string  // of a server whose connection broke: alive, ended or unknown
-	as     string  // why it was sent after the first send, empty for that one
-	known  string  // what it had said of itself before it was picked, empty for nothing
-	said   string  // what it said of itself with its answer, empty for nothing
+// attempt is one send of a request to a backend server, as logged.
+type attempt struct {
+	server       string
+	result       string // such as answered/500, not-run/503, dial-failed
+	took         time.Duration
+	belief       float64 // that the server was failing when it was picked
+	load         float64 // requests in progress at the server when it was picked
+	serverState  string  // after a broken connection: alive, ended or unknown
+	purpose      string  // of a second or later send, empty for the first one
+	statusBefore string  // what the server had reported before it was picked, if anything
+	statusAfter  string  // what the server reported in its response, if anything
 }
 
-// step tells the try in one line.
-func (t try) step() string {
+// describe describes the attempt in one line.
+func (t attempt) describe() string {
 	send := "server"
-	if t.as != "" {
-		send = t.as + " to server"
+	if t.purpose != "" {
+		send = t.purpose + " to server"
 	}
-	text := fmt.Sprintf("%s %s, %s after %s; when picked: belief that it fails %.2f, %.1f requests there", send, t.server, t.result, t.took, t.belief, t.load)
-	if t.known != "" {
-		text += ", " + t.known
+	text := fmt.Sprintf("%s %s, %s after %s; when picked: belief that it fails %.2f, %.1f requests in progress there", send, t.server, t.result, t.took, t.belief, t.load)
+	if t.statusBefore != "" {
+		text += ", " + t.statusBefore
 	}
-	if t.said != "" {
-		text += "; it said with its answer: " + t.said
+	if t.statusAfter != "" {
+		text += "; the server reported in its response: " + t.statusAfter
 	}
 	return text
 }
 
-// withheld reports whether no byte was sent, because of what the server had said of itself.
-func (t try) withheld() bool {
+// withheld reports whether nothing was sent because of what the server had reported: that it is leaving,
+// resting or at its rate limit.
+func (t attempt) withheld() bool {
 	switch errs.Kind(t.result) {
 	case errs.KindLeaving, errs.KindResting, errs.KindNoRoom:
 		return true
@@ -110,55 +111,55 @@
 	}
 }
 
-// abandoned reports whether the try was given up because another server answered.
-func (t try) abandoned() bool { return t.result == "abandoned" }
+// abandoned reports whether the attempt was cancelled because another server answered.
+func (t attempt) abandoned() bool { return t.result == "abandoned" }
 
-// failed reports whether the try brought no good answer.
-func (t try) failed() bool {
+// failed reports whether the attempt ended without a 2xx or 4xx response.
+func (t attempt) failed() bool {
 	return !strings.HasPrefix(t.result, "answered/2") && !strings.HasPrefix(t.result, "answered/4")
 }
 
-// parseTries reads the field of a request's line.
-func parseTries(value string) []try {
-	var tries []try
+// parseAttempts parses the tries field of a request's line.
+func parseAttempts(value string) []attempt {
+	var attempts []attempt
 	for part := range strings.SplitSeq(value, "; ") {
 		words := strings.Fields(part)
 		if len(words) < 2 {
 			continue
 		}
-		t := try{server: words[0], result: words[1]}
+		t := attempt{server: words[0], result: words[1]}
 		for _, word := range words[2:] {
 			name, text, _ := strings.Cut(word, "=")
 			switch name {
 			case "took":
-				t.took, _ = time.ParseDuration(text) // 0 where an older log has none
+				t.took, _ = time.ParseDuration(text) // 0 if an older log lacks it
 			case "server":
-				t.fate = text
+				t.serverState = text
 			case "as":
-				t.as = text
+				t.purpose = text
 			case "known":
-				t.known = text
+				t.statusBefore = text
 			case "said":
-				t.said = text
+				t.statusAfter = text
 			case "belief":
 				t.belief, _ = strconv.ParseFloat(text, 64) // likewise
 			case "load":
 				t.load, _ = strconv.ParseFloat(text, 64) // likewise
 			}
 		}
-		tries = append(tries, t)
+		attempts = append(attempts, t)
 	}
-	return tries
+	return attempts
 }
 
-// Logs are the lines of many hosts.
+// Logs holds the parsed lines of any number of hosts.
 type Logs struct {
-	requests []line
-	events   []line
-	usual    map[string]time.Duration // by service
+	requests         []line
+	events           []line
+	typicalLatencies map[string]time.Duration // by service
 }
 
-// Read adds a host's log. name is used where lines do not name their host.
+// Read adds a log. name is the host of lines that have no host name as a prefix.
 func (l *Logs) Read(r io.Reader, name string) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, maxLineBytes/16), maxLineBytes)
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -13,21 +13,21 @@
 	"github.com/pearshelf/pearshelf/internal/explain"
 )
 
-// Explain prints what became of a request by the logs of the hosts: files named
-// after their hosts, or a stream if there are none.
+// Explain prints what happened to a request according to the logs of the hosts. The logs are files named
+// after their hosts or, if there are none, a stream of lines from all hosts.
 func (a *App) Explain(request string, files []string, stream io.Reader) error {
 	logs, err := readLogs(files, stream)
 	if err != nil {
 		return err
 	}
-	return a.print(explanation(logs.Request(request)))
+	return a.print(reportTable(logs.Request(request)))
 }
 
 func readLogs(files []string, stream io.Reader) (*explain.Logs, error) {
 	logs := &explain.Logs{}
 	if len(files) == 0 {
 		if err := logs.Read(stream, "-"); err != nil {
-			return nil, errs.Wrap(err, errs.KindBadRequest, "standard input cannot be read", "give the logs as files")
+			return nil, errs.Wrap(err, errs.KindBadRequest, "cannot read standard input", "pass the logs as files")
 		}
 	}
 	for _, name := range files {
@@ -38,7 +38,7 @@
 	return logs, nil
 }
 
-// Account prints why requests were not served, summed over the logs of the hosts.
+// Account prints how many requests were not served, by cause, according to the logs of the hosts.
 func (a *App) Account(by explain.Grouping, files []string, stream io.Reader) error {
 	logs, err := readLogs(files, stream)
 	if err != nil {
@@ -51,7 +51,7 @@
 func accountTable(by explain.Grouping, account explain.Account) Table {
 	t := Table{
 		Columns: []string{"not_run", "lost", "share", "cause"},
-		Summary: fmt.Sprintf("%d requests not served; hosts wrote no line about %d", account.Unserved, account.Missed),
+		Summary: fmt.Sprintf("%d requests not served; hosts did not log %d", account.Unserved, account.Unlogged),
 	}
 	if by != explain.ByCause {
 		t.Columns = append(t.Columns, string(by))
@@ -67,8 +67,9 @@
 	return t
 }
 
-// Unused prints which servers were out of use, and why, by the logs of the hosts: those of a
-// service, all if empty, for least or longer. at is a time of day as logs have it, empty for any.
+// Unused prints which backend servers were out of use for least or longer, and why, according to the logs
+// of the hosts. An empty service selects all services. at selects the periods that contain this time of
+// day, in the form that the logs have; an empty at selects all.
 func (a *App) Unused(service string, least time.Duration, at string, files []string, stream io.Reader) error {
 	logs, err := readLogs(files, stream)
 	if err != nil {
@@ -84,31 +85,31 @@
 func unusedTable(unused explain.Unused) Table {
 	t := Table{
 		Columns: []string{"from", "for", "service", "backend", "hosts", "why"},
-		Summary: fmt.Sprintf("%d times that a server was out of use; hosts left out %d lines", len(unused.Spans), unused.Missed),
+		Summary: fmt.Sprintf("%d periods with a server out of use; hosts omitted %d lines", len(unused.Spans), unused.MissedLines),
 	}
 	for _, span := range unused.Spans {
 		t.Rows = append(t.Rows, []string{
-			span.From.Format(timeOfDay),
-			span.Length(),
+			span.From.Format(timeOfDayFormat),
+			span.Duration(),
 			span.Service,
 			span.Server,
-			fmt.Sprintf("%d of %d", span.Hosts, span.Sharing),
-			span.Why(),
+			fmt.Sprintf("%d of %d", span.Hosts, span.TotalHosts),
+			span.Reasons(),
 		})
 	}
 	return t
 }
 
-// timeOfDay is how moments of a log are printed.
-const timeOfDay = "15:04:05.000"
+// timeOfDayFormat is the format of the times of log lines in the output.
+const timeOfDayFormat = "15:04:05.000"
 
-// explanation is a report as the tool prints it.
-func explanation(r explain.Report) Table {
+// reportTable converts a report to the table that the tool prints.
+func reportTable(r explain.Report) Table {
 	t := Table{Columns: []string{"part", "what"}, Summary: "cause: " + r.Cause}
 	for _, step := range r.Steps {
 		t.Rows = append(t.Rows, []string{"request", step})
 	}
-	for _, other := range r.Around {
+	for _, other := range r.Context {
 		t.Rows = append(t.Rows, []string{"around", other})
 	}
 	return t
@@ -117,12 +118,12 @@
 func readLog(logs *explain.Logs, name string) error {
 	file, err := os.Open(name)
 	if err != nil {
-		return errs.Wrap(err, errs.KindBadRequest, "log cannot be opened", "check the path")
+		return errs.Wrap(err, errs.KindBadRequest, "cannot open the log", "check the path")
 	}
 	defer file.Close()
 	host := strings.TrimSuffix(filepath.Base(name), filepath.Ext(name))
 	if err := logs.Read(file, host); err != nil {
-		return errs.Wrap(err, errs.KindBadRequest, "log "+name+" cannot be read", "check that it is a log of pearshelfd")
+		return errs.Wrap(err, errs.KindBadRequest, "log "+name+" cannot be read", "check that it was written by pearshelfd")
 	}
 	return nil
 }
