--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator is the logic of the operators' tool: it sends statements to
-// a host, waits for the fleet to confirm them, and prints results.
+// Package operator implements the commands of the operators' command-line tool. It sends statements
+// to a host, waits until all hosts confirm them, and prints the results.
 package operator
 
 import (
@@ -30,19 +30,19 @@
 	ExitSuperseded  = 4
 )
 
-const pollEvery = 100 * time.Millisecond
+const pollInterval = 100 * time.Millisecond
 
-// Typed results that are no plain failure.
+// Outcomes of a write that have exit codes of their own.
 var (
-	// ErrUnconfirmed: the write is accepted but some host does not hold it yet.
-	ErrUnconfirmed = errs.New(errs.KindPeer, "not every host has confirmed", "repeat with a longer --timeout, or see show hosts; the write still spreads")
-	// ErrSuperseded: another operator's later write to the field won.
-	ErrSuperseded = errs.New(errs.KindConflict, "another operator's write to this field won", "look with show directives before you repeat")
+	// ErrUnconfirmed means that the write was accepted but has not reached every host yet.
+	ErrUnconfirmed = errs.New(errs.KindPeer, "not every host has confirmed", "repeat with a longer --timeout, or check the hosts with show hosts; the write continues to propagate")
+	// ErrSuperseded means that a later write of another operator replaced this one.
+	ErrSuperseded = errs.New(errs.KindConflict, "superseded by another operator's write to the same field", "check the current value with show directives before repeating the write")
 )
 
-// Config of an App.
+// Config configures an App.
 type Config struct {
-	// Host is the operator listener of any host, IP:port.
+	// Host is the address (IP:port) of the operator listener of any host.
 	Host   string
 	Output Format
 	Actor  string
@@ -50,13 +50,13 @@
 	Out    io.Writer
 }
 
-// App runs the tool's commands.
+// App runs the commands of the tool.
 type App struct {
 	conf   Config
 	client adminpb.Admin
 }
 
-// New returns an app that talks to one host.
+// New returns an App that connects to conf.Host.
 func New(conf Config) (*App, error) {
 	tlsConf, err := peer.MutualTLS(conf.TLS)
 	if err != nil {
@@ -65,16 +65,15 @@
 	return &App{conf: conf, client: peer.NewClients(tlsConf).Admin(conf.Host)}, nil
 }
 
-// remoteError shows a host's refusal without the transport's words.
+// remoteError prints a host's error without the prefix that the transport adds.
 type remoteError struct{ refusal twirp.Error }
 
-// Error returns message and remedy.
+// Error returns the message and the remedy as the host wrote them.
 func (e remoteError) Error() string { return e.refusal.Msg() }
 
-// Unwrap returns the transport's error.
 func (e remoteError) Unwrap() error { return e.refusal }
 
-func plain(err error) error {
+func toRemoteError(err error) error {
 	var refusal twirp.Error
 	if errors.As(err, &refusal) {
 		return remoteError{refusal}
@@ -82,7 +81,7 @@
 	return err
 }
 
-// ExitCode maps an error to the tool's exit code.
+// ExitCode maps an error to the exit code of the tool.
 func ExitCode(err error) int {
 	var twerr twirp.Error
 	switch {
@@ -100,13 +99,13 @@
 	}
 }
 
-// Statement sends a statement and, if it wrote something, waits until every
-// host has confirmed.
+// Statement runs a statement and prints its rows. If the statement is a write, it waits until every
+// host has confirmed the write.
 func (a *App) Statement(ctx context.Context, verb string, words []string) error {
 	text := verb + " " + strings.Join(words, " ")
 	resp, err := a.client.Query(ctx, &adminpb.QueryRequest{Statement: text, Actor: a.conf.Actor})
 	if err != nil {
-		return plain(err)
+		return toRemoteError(err)
 	}
 	if resp.Ticket != nil {
 		return a.confirm(ctx, resp.Ticket)
@@ -118,7 +117,7 @@
 	return a.print(Table{Columns: resp.Columns, Rows: rows})
 }
 
-// confirm polls the fleet until all live hosts hold the write or time is up.
+// confirm polls until all live hosts have the write, the write is superseded, or ctx is done.
 func (a *App) confirm(ctx context.Context, ticket *adminpb.Ticket) error {
 	var last *adminpb.ConfirmResponse
 	for {
@@ -129,22 +128,22 @@
 		if err == nil {
 			last = resp
 		}
-		verdict := judge(last)
+		verdict := confirmationError(last)
 		if verdict == nil || errors.Is(verdict, ErrSuperseded) || ctx.Err() != nil {
 			return errors.Join(a.print(confirmationTable(last)), verdict)
 		}
-		pause(ctx)
+		waitForNextPoll(ctx)
 	}
 }
 
-func pause(ctx context.Context) {
+func waitForNextPoll(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(pollEvery):
+	case <-time.After(pollInterval):
 	}
 }
 
-func judge(resp *adminpb.ConfirmResponse) error {
+func confirmationError(resp *adminpb.ConfirmResponse) error {
 	missing := false
 	for _, h := range resp.Hosts {
 		switch h.State {
@@ -175,7 +174,7 @@
 	return t
 }
 
-// Timeline prints the merged events of all hosts.
+// Timeline prints the events of all hosts, merged into one timeline.
 func (a *App) Timeline(ctx context.Context, since time.Duration, service string) error {
 	resp, err := a.client.Timeline(ctx, &adminpb.TimelineRequest{SinceMs: uint64(since.Milliseconds()), Service: service})
 	if err != nil {
@@ -187,30 +186,30 @@
 		t.Rows = append(t.Rows, []string{at, fmt.Sprint(e.Number), e.Name, e.Host, e.Service, e.Backend, e.Detail})
 	}
 	if len(resp.Unreachable) > 0 {
-		t.Summary = "missing, because unreachable: " + strings.Join(resp.Unreachable, " ")
+		t.Summary = "events missing from unreachable hosts: " + strings.Join(resp.Unreachable, " ")
 	}
 	return a.print(t)
 }
 
-// KeyDigest prints the digest of the customer's key that in holds. A key is read from a
-// file or pipe, not from the command line, which others on the machine can see.
+// KeyDigest prints the digest of the customer's key read from in. The key is not a command-line
+// argument because other users of the machine can see those.
 func (a *App) KeyDigest(in io.Reader) error {
-	raw, err := io.ReadAll(io.LimitReader(in, keyLimitBytes))
+	raw, err := io.ReadAll(io.LimitReader(in, maxKeyBytes))
 	if err != nil {
-		return errs.Wrap(err, errs.KindStatement, "key cannot be read", "give the key on standard input")
+		return errs.Wrap(err, errs.KindStatement, "cannot read the key", "pass the key on standard input")
 	}
 	key := strings.TrimSpace(string(raw))
 	if key == "" || strings.ContainsAny(key, " ,\t\n") {
-		return errs.New(errs.KindStatement, "standard input holds no key", "give one key, a word without spaces or commas, on standard input")
+		return errs.New(errs.KindStatement, "standard input does not contain a single key", "pass one key without spaces or commas on standard input")
 	}
 	_, err = fmt.Fprintln(a.conf.Out, customer.DigestOf(key))
 	return err
 }
 
-// keyLimitBytes bounds what is read of a key.
-const keyLimitBytes = 4096
+// maxKeyBytes limits how much of the input is read.
+const maxKeyBytes = 4096
 
-// CheckConfig checks a shard document.
+// CheckConfig validates a shard document and prints a summary of its services.
 func (a *App) CheckConfig(path string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -231,7 +230,8 @@
 	return a.print(t)
 }
 
-// DiffConfig prints every host and document that is not at the newest revision.
+// DiffConfig prints each document of each host that is older than the newest revision in the fleet,
+// and the hosts that cannot be reached. It returns ErrUnconfirmed if there are any.
 func (a *App) DiffConfig(ctx context.Context) error {
 	t, behind, err := a.configDiff(ctx)
 	if err != nil {
@@ -246,7 +246,7 @@
 	return nil
 }
 
-// WaitConfig waits until DiffConfig would print nothing.
+// WaitConfig waits until every host can be reached and has the newest revision of every document.
 func (a *App) WaitConfig(ctx context.Context) error {
 	for {
 		t, behind, err := a.configDiff(ctx)
@@ -259,7 +259,7 @@
 		if ctx.Err() != nil {
 			return errors.Join(a.print(t), ErrUnconfirmed)
 		}
-		pause(ctx)
+		waitForNextPoll(ctx)
 	}
 }
 
--- a/internal/operator/print.go
+++ b/internal/operator/print.go
@@ -9,25 +9,24 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Format is an output format.
 type Format string
 
-// Formats.
+// Output formats.
 const (
 	FormatTable Format = "table"
 	FormatJSON  Format = "json"
 	FormatYAML  Format = "yaml"
 )
 
-// Table is a result with its columns in order.
+// Table is the result of a command. The cells of a row are in the order of the columns.
 type Table struct {
 	Columns []string
 	Rows    [][]string
-	// Summary is one line, empty for none.
+	// Summary is a line printed below the table, if not empty.
 	Summary string
 }
 
-// document is the machine-readable form.
+// document is the form of a Table in JSON and YAML.
 type document struct {
 	Rows    []map[string]string `json:"rows" yaml:"rows"`
 	Summary string              `json:"summary,omitempty" yaml:"summary,omitempty"`
