--- a/internal/directive/directive.go
+++ b/internal/directive/directive.go
@@ -1,5 +1,4 @@
-// Package directive keeps operators' commands as registers in the memory of
-// the fleet.
+// Package directive stores operators' commands as registers, which are replicated to every host.
 package directive
 
 import (
@@ -14,22 +13,22 @@
 	"github.com/pearshelf/pearshelf/internal/register"
 )
 
-// Kinds of directive. Each is a field that one register holds.
+// Kinds of directive. Each combination of kind and target has a register of its own.
 const (
 	KindDrain = "drain"
 	KindStop  = "stop"
 	KindFloor = "floor"
 )
 
-const prefix = "directive/"
+const keyPrefix = "directive/"
 
-// Key returns the register key of a directive; target is service/backend for a
-// drain, a host for a stop and a service for a floor.
+// Key returns the register key of a directive. target is service/backend for a drain, a host name for
+// a stop and a service name for a floor.
 func Key(kind, target string) string {
-	return prefix + kind + "/" + target
+	return keyPrefix + kind + "/" + target
 }
 
-// New returns an unstamped register that holds a directive.
+// New encodes a directive as a register that has no stamp yet.
 func New(d *peerpb.Directive) (*peerpb.Register, error) {
 	value, err := proto.Marshal(d)
 	if err != nil {
@@ -39,15 +38,15 @@
 }
 
 // Is reports whether a register holds a directive.
-func Is(r *peerpb.Register) bool { return strings.HasPrefix(r.GetKey(), prefix) }
+func Is(r *peerpb.Register) bool { return strings.HasPrefix(r.GetKey(), keyPrefix) }
 
-// Target returns the kind and target of a directive's register.
+// Target extracts the kind and target from the key of a directive's register.
 func Target(r *peerpb.Register) (kind, target string) {
-	kind, target, _ = strings.Cut(strings.TrimPrefix(r.GetKey(), prefix), "/")
+	kind, target, _ = strings.Cut(strings.TrimPrefix(r.GetKey(), keyPrefix), "/")
 	return kind, target
 }
 
-// Parse returns the directive that a register holds.
+// Parse decodes the directive that a register holds.
 func Parse(r *peerpb.Register) (*peerpb.Directive, error) {
 	d := &peerpb.Directive{}
 	err := proto.Unmarshal(r.GetValue(), d)
@@ -73,8 +72,8 @@
 	return drains
 }
 
-// Floor returns the floor that an operator set, if it still replaces the
-// published value.
+// Floor returns the floor that an operator set for a service. The result is false if there is none or the
+// published value has changed since: a directive overrides only the value that it was based on.
 func Floor(store *register.Store, service string, published int) (int, bool) {
 	r, ok := store.Get(Key(KindFloor, service))
 	if !ok {
@@ -88,7 +87,7 @@
 	return floor, err == nil
 }
 
-// All returns every directive in force, by key.
+// All returns the registers of all directives in force, in order of their keys.
 func All(store *register.Store) []*peerpb.Register {
-	return store.Prefix(prefix)
+	return store.Prefix(keyPrefix)
 }
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -1,4 +1,4 @@
-// Package query parses the operators' language:
+// Package query parses the statements of the operators' query language:
 //
 //	show hosts|services|backends|routes|customers|limits|ratelimits|availability|evacuations|quarantine|directives|documents [where f=v and g!=w]
 //	drain backend SERVICE/ID [expect VERSION]
@@ -17,7 +17,7 @@
 	"github.com/pearshelf/pearshelf/internal/errs"
 )
 
-// Statement is one statement; exactly one field is set.
+// Statement is the root of the grammar. Exactly one field is set.
 type Statement struct {
 	Show    *Show   `parser:"  'show' @@"`
 	Drain   *Target `parser:"| 'drain' 'backend' @@"`
@@ -27,32 +27,32 @@
 	Lift    *Lift   `parser:"| 'lift' 'quarantine' @@"`
 }
 
-// Show lists rows of a table.
+// Show lists the rows of a table that meet all conditions of its where clause.
 type Show struct {
 	Table string      `parser:"@( 'hosts' | 'services' | 'backends' | 'routes' | 'customers' | 'limits' | 'ratelimits' | 'availability' | 'evacuations' | 'quarantine' | 'directives' | 'documents' )"`
 	Where []Condition `parser:"( 'where' @@ ( 'and' @@ )* )?"`
 }
 
-// Condition compares a column.
+// Condition compares a column with a value.
 type Condition struct {
 	Field string `parser:"@Word"`
 	Op    string `parser:"@( '=' | '!=' )"`
 	Value string `parser:"@Word"`
 }
 
-// Target names a backend server.
+// Target identifies a backend server by its service and ID. Expect, if set, is the version that the
+// operator expects to replace.
 type Target struct {
 	Service string `parser:"@Word '/'"`
 	Backend string `parser:"@Word"`
 	Expect  string `parser:"( 'expect' @Word )?"`
 }
 
-// Host names a host.
 type Host struct {
 	Name string `parser:"@Word"`
 }
 
-// Set changes a field of a service.
+// Set changes the floor of a service. Expect is used as in Target.
 type Set struct {
 	Service string `parser:"@Word"`
 	Floor   int    `parser:"'floor' @Word"`
@@ -72,17 +72,17 @@
 	})),
 )
 
-// Parse reads a statement.
+// Parse parses a statement. Its errors have the kind errs.KindStatement.
 func Parse(text string) (*Statement, error) {
 	statement, err := parser.ParseString("", strings.TrimSpace(text))
 	if err != nil {
-		return nil, errs.Wrap(err, errs.KindStatement, "statement is not understood", "see pearshelf --help, for example: show backends where service=checkout")
+		return nil, errs.Wrap(err, errs.KindStatement, "statement cannot be parsed", "see pearshelf --help, for example: show backends where service=checkout")
 	}
 	return statement, nil
 }
 
-// Matches reports whether a row meets all conditions; unknown names a column
-// that the table lacks.
+// Matches reports whether a row meets all conditions. If a condition names a column that the table
+// does not have, unknown is the name of that column.
 func Matches(where []Condition, columns, cells []string) (ok bool, unknown string) {
 	for _, c := range where {
 		at := indexOf(columns, c.Field)
