--- a/internal/errs/errs.go
+++ b/internal/errs/errs.go
@@ -1,5 +1,5 @@
-// Package errs defines the typed errors of the fleet. Every error has a kind
-// that callers can test and a remedy that a person can follow.
+// Package errs defines the error type of the fleet. Every error has a kind, which code can test, and a
+// remedy, which tells a person what to do.
 package errs
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Kind classifies an error. It is stable and appears in answers and events.
+// Kind classifies an error. Its values are stable, as they appear in responses, logs and events.
 type Kind string
 
 // Kinds of error.
@@ -50,27 +50,25 @@
 
 // Error is an error with a kind and a remedy.
 type Error struct {
-	// Kind classifies the error.
-	Kind Kind
-	// Message says what went wrong.
+	Kind    Kind
 	Message string
-	// Remedy says what the reader can do about it.
+	// Remedy tells the reader how to resolve the error.
 	Remedy string
 
 	cause error
 }
 
-// New returns an error of a kind. The remedy must name an action.
+// New returns an error without a cause. The remedy must name an action.
 func New(kind Kind, message, remedy string) *Error {
 	return &Error{Kind: kind, Message: message, Remedy: remedy}
 }
 
-// Wrap returns an error of a kind with a cause, which keeps its stack trace.
+// Wrap returns an error with a cause and records the stack trace of the call.
 func Wrap(cause error, kind Kind, message, remedy string) *Error {
 	return &Error{Kind: kind, Message: message, Remedy: remedy, cause: eris.Wrap(cause, message)}
 }
 
-// Error returns message, cause and remedy on one line.
+// Error returns the message, the cause if there is one, and the remedy, on one line.
 func (e *Error) Error() string {
 	text := e.Message
 	if e.cause != nil {
@@ -79,10 +77,9 @@
 	return text + " (" + e.Remedy + ")"
 }
 
-// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// KindOf returns the kind of the first typed error in err's chain, or "".
+// KindOf returns the kind of the first *Error in err's chain, or "" if there is none.
 func KindOf(err error) Kind {
 	var typed *Error
 	if errors.As(err, &typed) {
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,5 +1,5 @@
-// Package event defines the numbered events of the fleet and keeps the newest
-// ones of a host in a ring, from which the time line over all hosts is merged.
+// Package event defines the numbered events of the fleet. Each host keeps its newest events in a ring
+// buffer; the fleet-wide timeline is merged from these buffers.
 package event
 
 import (
@@ -16,7 +16,7 @@
 // Number identifies a kind of event. Numbers are never reused.
 type Number uint32
 
-// Numbers of events. docs/EVENTS.md describes each; a test compares the two.
+// Event numbers. docs/EVENTS.md documents each; a test verifies that the two agree.
 const (
 	HostStarted          Number = 101
 	HostReady            Number = 102
@@ -69,7 +69,7 @@
 	ContentCleared       Number = 606
 )
 
-var names = map[Number]string{
+var eventNames = map[Number]string{
 	HostStarted:          "host-started",
 	HostReady:            "host-ready",
 	HostStopping:         "host-stopping",
@@ -122,59 +122,58 @@
 }
 
 // String returns the name of the event kind.
-func (n Number) String() string { return names[n] }
+func (n Number) String() string { return eventNames[n] }
 
-// Numbers returns every number of the catalogue in order.
+// Numbers returns all event numbers in ascending order.
 func Numbers() []Number {
-	numbers := make([]Number, 0, len(names))
-	for n := range names {
+	numbers := make([]Number, 0, len(eventNames))
+	for n := range eventNames {
 		numbers = append(numbers, n)
 	}
 	slices.Sort(numbers)
 	return numbers
 }
 
-// Event is one entry of the time line.
+// Event is one entry of the timeline.
 type Event struct {
-	// Number is the kind of event.
 	Number Number
-	// Clock orders events over all hosts, causes before effects.
+	// Clock orders events across all hosts. A cause is ordered before its effects.
 	Clock hlc.Timestamp
-	// Host is where the event happened.
+	// Host is the host on which the event occurred.
 	Host string
-	// Service and Backend are empty where the event concerns neither.
+	// Service and Backend are empty if the event does not concern a service or a backend server.
 	Service string
 	Backend string
-	// Detail is one line for people.
+	// Detail is a human-readable description of one line.
 	Detail string
 }
 
-// Compare orders events by clock, then host.
+// Compare orders events by clock, then host, then number.
 func Compare(a, b Event) int {
 	return cmp.Or(cmp.Compare(a.Clock, b.Clock), cmp.Compare(a.Host, b.Host), cmp.Compare(a.Number, b.Number))
 }
 
-// Recorder takes events.
+// Recorder records events.
 type Recorder interface {
 	Record(n Number, service, backend, detail string)
 }
 
-// Log is a bounded ring of events that also writes each to the log.
+// Log keeps the newest events of a host in a ring buffer and writes each event to the host's log.
 type Log struct {
 	host  string
 	clock *hlc.Clock
 
 	mu   sync.Mutex
 	ring []Event
-	next int
+	next int // index of the oldest event once the ring is full
 }
 
-// NewLog returns a ring for size events of one host.
+// NewLog returns a Log that keeps up to size events of one host.
 func NewLog(host string, clock *hlc.Clock, size int) *Log {
 	return &Log{host: host, clock: clock, ring: make([]Event, 0, size)}
 }
 
-// Record adds an event stamped now.
+// Record adds an event with the current time of the host's clock.
 func (l *Log) Record(n Number, service, backend, detail string) {
 	l.Add(Event{
 		Number:  n,
@@ -186,7 +185,8 @@
 	})
 }
 
-// Add stores a stamped event, dropping the oldest one when the ring is full.
+// Add stores an event that already has a timestamp. If the ring is full, the event replaces the oldest
+// one.
 func (l *Log) Add(e Event) {
 	klog.InfoS(e.Number.String(), "event", uint32(e.Number), "host", e.Host, "service", e.Service, "backend", e.Backend, "detail", e.Detail)
 	l.mu.Lock()
@@ -199,7 +199,7 @@
 	l.next = (l.next + 1) % len(l.ring)
 }
 
-// Since returns the events not older than start, in order.
+// Since returns the events not older than start, sorted by Compare.
 func (l *Log) Since(start time.Time) []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -214,5 +214,4 @@
 	return events
 }
 
-// Interface guard.
 var _ Recorder = (*Log)(nil)
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -12,20 +12,20 @@
 	"github.com/pearshelf/pearshelf/internal/hlc"
 )
 
-var row = regexp.MustCompile(`(?m)^\| (\d+) \| ([a-z-]+) \|`)
+var tableRow = regexp.MustCompile(`(?m)^\| (\d+) \| ([a-z-]+) \|`)
 
-// The catalogue in the docs and the code name the same events.
-func TestCatalogueMatchesCode(t *testing.T) {
+// Guards against events that are defined but not documented, and the reverse.
+func TestDocumentedEventsMatchCode(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/EVENTS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	documented := make(map[string]bool)
-	for _, m := range row.FindAllStringSubmatch(string(raw), -1) {
+	for _, m := range tableRow.FindAllStringSubmatch(string(raw), -1) {
 		documented[m[1]+" "+m[2]] = true
 		number, err := strconv.Atoi(m[1])
 		if err != nil || event.Number(number).String() != m[2] {
-			t.Errorf("docs name event %s %s, the code does not", m[1], m[2])
+			t.Errorf("event %s %s is documented but not defined", m[1], m[2])
 		}
 	}
 	for _, n := range event.Numbers() {
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestRingKeepsTheNewestInOrder(t *testing.T) {
+func TestRingKeepsNewestEventsInOrder(t *testing.T) {
 	log := event.NewLog("h", &hlc.Clock{}, 3)
 	for _, detail := range []string{"a", "b", "c", "d", "e"} {
 		log.Record(event.HostStarted, "", "", detail)
@@ -45,6 +45,6 @@
 		got += e.Detail
 	}
 	if got != "cde" {
-		t.Fatalf("ring holds %q", got)
+		t.Fatalf("events in the ring: %q, want cde", got)
 	}
 }
