--- a/internal/operator/print.go
+++ b/internal/operator/print.go
@@ -9,6 +9,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
+// Format selects how results are printed.
 type Format string
 
 // Output formats.
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -48,6 +48,7 @@
 	Expect  string `parser:"( 'expect' @Word )?"`
 }
 
+// Host identifies a host by its name.
 type Host struct {
 	Name string `parser:"@Word"`
 }
