--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon wires the parts of a host together and runs its listeners.
+// Package daemon assembles the components of a host and runs its listeners.
 package daemon
 
 import (
@@ -38,21 +38,21 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// Hooks let tests hold a host at a point of its work.
+// Hooks let tests block a host at defined points of its execution.
 type Hooks struct {
 	BeforeWrite func(*dispatch.Request)
 	BeforeTick  func()
 }
 
-// Adapter makes a host speak to another platform than the product's own.
+// Adapter connects a host to a platform other than the built-in one.
 type Adapter struct {
-	// Source is where the configuration comes from.
+	// Source provides the configuration.
 	Source platform.Source
-	// Protocol is what callers and backend servers speak.
+	// Protocol defines the headers exchanged with callers and backend servers.
 	Protocol *protocol.Protocol
 }
 
-// Daemon is one host.
+// Daemon runs one host of the fleet.
 type Daemon struct {
 	settings *settings.Settings
 	hooks    Hooks
@@ -74,7 +74,7 @@
 	owners    *upstream.Transport
 	probes    *http.Client
 
-	balance *balance.Table // nil with owner hosts
+	balance *balance.Table // nil if requests are forwarded to owner hosts
 	servers *availability.Table
 	limiter *limiter
 	guard   *contentGuard
@@ -83,46 +83,46 @@
 	memory     *memory.Budget
 
 	callerServer   *http.Server
-	readyServer    *http.Server // nil if the balancer asks the caller's listener
+	readyServer    *http.Server // nil if the caller listener serves readiness checks
 	peerServer     *http.Server
 	operatorServer *http.Server
 	listeners      listeners
 
-	ctx      context.Context
-	cancel   context.CancelFunc
-	wg       sync.WaitGroup
-	stopOnce sync.Once
-	stopAsk  chan struct{}
+	ctx           context.Context
+	cancel        context.CancelFunc
+	wg            sync.WaitGroup
+	stopOnce      sync.Once
+	stopRequested chan struct{}
 }
 
-// listeners are the open sockets.
+// listeners holds the host's open TCP listeners.
 type listeners struct {
 	caller   net.Listener
-	ready    net.Listener // nil unless the settings name one
+	ready    net.Listener // nil unless caller.ready_listen is set
 	peer     net.Listener
 	operator net.Listener
 }
 
-// New opens the sockets and makes a host of the product's own platform; Start
-// runs it.
+// New opens the sockets and returns a host that uses the built-in platform.
+// Start runs it.
 func New(s *settings.Settings, hooks Hooks) (*Daemon, error) {
-	own := Adapter{Source: platform.NewClient(s.Platform.Address), Protocol: protocol.Own()}
-	return NewAdapted(s, hooks, own)
+	adapter := Adapter{Source: platform.NewClient(s.Platform.Address), Protocol: protocol.Own()}
+	return NewAdapted(s, hooks, adapter)
 }
 
-// NewAdapted is New with an adapter to another platform.
+// NewAdapted is like New but uses the given platform adapter.
 func NewAdapted(s *settings.Settings, hooks Hooks, adapter Adapter) (*Daemon, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Daemon{
-		settings: s,
-		hooks:    hooks,
-		protocol: adapter.Protocol,
-		platform: adapter.Source,
-		registry: prometheus.NewRegistry(),
-		clock:    &hlc.Clock{},
-		ctx:      ctx,
-		cancel:   cancel,
-		stopAsk:  make(chan struct{}),
+		settings:      s,
+		hooks:         hooks,
+		protocol:      adapter.Protocol,
+		platform:      adapter.Source,
+		registry:      prometheus.NewRegistry(),
+		clock:         &hlc.Clock{},
+		ctx:           ctx,
+		cancel:        cancel,
+		stopRequested: make(chan struct{}),
 	}
 	d.metrics = metrics.New(d.registry)
 	d.events = event.NewLog(s.Host, d.clock, settings.DefaultEventRing)
@@ -159,11 +159,12 @@
 	return nil
 }
 
-// anyPortTries bounds how often a port is looked for that is free for TCP and
-// UDP, where the settings leave the choice (port 0).
-const anyPortTries = 20
+// maxPortAttempts bounds the search for a port that is free for both TCP and UDP
+// if the settings ask for any port (port 0).
+const maxPortAttempts = 20
 
-// openPeerSockets listens for peers on one port, for calls and datagrams.
+// openPeerSockets opens the peer listeners for calls (TCP) and datagrams (UDP) on
+// the same port.
 func (d *Daemon) openPeerSockets() error {
 	var sealer *peer.Sealer
 	var err error
@@ -172,11 +173,11 @@
 			return err
 		}
 	}
-	tries := 1
+	attempts := 1
 	if strings.HasSuffix(d.settings.Peer.Listen, ":0") {
-		tries = anyPortTries
+		attempts = maxPortAttempts
 	}
-	for range tries {
+	for range attempts {
 		if d.listeners.peer, err = listen("peer.listen", d.settings.Peer.Listen); err != nil {
 			return err
 		}
@@ -191,7 +192,7 @@
 func listen(field, address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.KindSettings, "listener cannot be opened", "free the port or change "+field)
+		return nil, errs.Wrap(err, errs.KindSettings, "cannot open listener", "free the port or change "+field)
 	}
 	return l, nil
 }
@@ -218,7 +219,7 @@
 	d.probes = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	d.watcher = &watcher{d: d}
 	d.observer = newObserver(d.bus, d.metrics, d.events, time.Duration(d.settings.Timing.Tick)/2)
-	d.observer.off = !*d.settings.Forwarding
+	d.observer.disabled = !*d.settings.Forwarding
 	return nil
 }
 
@@ -304,7 +305,7 @@
 
 // Start runs the host until Stop or Kill.
 func (d *Daemon) Start() error {
-	d.wg.Go(func() { _ = d.bus.Run(d.ctx) }) // ends with the context
+	d.wg.Go(func() { _ = d.bus.Run(d.ctx) }) // returns when the context is cancelled
 	<-d.bus.Running()
 	d.events.Record(event.HostStarted, "", "", d.settings.DataCentre)
 	if d.settings.Peer.Insecure {
@@ -316,17 +317,17 @@
 	d.wg.Go(func() { d.datagrams.Receive(d.receive) })
 	d.wg.Go(func() { d.limiter.run(d.ctx) })
 	d.wg.Go(func() { d.rateLimits.run(d.ctx) })
-	leaving := &rechecker{servers: d.servers, snapshot: d.engine.Snapshot, client: d.probes, protocol: d.protocol, events: d.events}
-	d.wg.Go(func() { leaving.Run(d.ctx) })
-	if !d.observer.off {
+	leavingCheck := &rechecker{servers: d.servers, snapshot: d.engine.Snapshot, client: d.probes, protocol: d.protocol, events: d.events}
+	d.wg.Go(func() { leavingCheck.Run(d.ctx) })
+	if !d.observer.disabled {
 		d.wg.Go(func() { d.observer.run(d.ctx) })
 	}
 	d.wg.Go(func() { d.engine.Run(d.ctx) })
 	if d.balance != nil {
 		reporter := &loadReporter{d: d, table: d.balance}
 		d.wg.Go(func() { reporter.run(d.ctx) })
-		uses := newUseLog(d)
-		d.wg.Go(func() { uses.run(d.ctx) })
+		useLog := newUseLog(d)
+		d.wg.Go(func() { useLog.run(d.ctx) })
 	}
 	d.serve(d.callerServer, d.listeners.caller)
 	if d.readyServer != nil {
@@ -351,37 +352,39 @@
 	})
 }
 
-// Metrics returns what this host measures, for the program's own figures.
+// Metrics returns the host's metrics.
 func (d *Daemon) Metrics() *metrics.Metrics { return d.metrics }
 
-// Ready reports whether a configuration is in force.
+// Ready reports whether the host has applied a configuration.
 func (d *Daemon) Ready() bool { return d.engine.Ready() }
 
-// Snapshot returns the newest view, for tests and the load tool.
+// Snapshot returns the latest snapshot of the host's state, for tests and the load
+// tool.
 func (d *Daemon) Snapshot() *world.Snapshot { return d.engine.Snapshot() }
 
 // Engine returns the control loop, for tests and the load tool.
 func (d *Daemon) Engine() *engine.Engine { return d.engine }
 
-// Availability returns what servers have told this host of themselves.
+// Availability returns the availability states that backend servers have reported
+// to this host.
 func (d *Daemon) Availability() *availability.Table { return d.servers }
 
-// HeldBytes is how many bytes of bodies this host holds.
+// HeldBytes returns the number of body bytes that this host buffers.
 func (d *Daemon) HeldBytes() int64 { return d.memory.Held() }
 
-// Events returns the host's ring of events.
+// Events returns the host's event log, a ring buffer.
 func (d *Daemon) Events() *event.Log { return d.events }
 
-// DatagramBytes returns the control datagram bytes sent and received.
+// DatagramBytes returns the number of control datagram bytes sent and received.
 func (d *Daemon) DatagramBytes() (sent, received uint64) { return d.datagrams.Bytes() }
 
-// CallerAddress, PeerAddress and OperatorAddress are the listeners' IP:port.
+// CallerAddress returns the IP:port of the caller listener.
 func (d *Daemon) CallerAddress() string { return d.listeners.caller.Addr().String() }
 
-// PeerAddress is the peer listener's IP:port.
+// PeerAddress returns the IP:port of the peer listener.
 func (d *Daemon) PeerAddress() string { return d.listeners.peer.Addr().String() }
 
-// OperatorAddress is the operators' listener's IP:port.
+// OperatorAddress returns the IP:port of the operator listener.
 func (d *Daemon) OperatorAddress() string { return d.listeners.operator.Addr().String() }
 
 // Interface guards.
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -30,7 +30,7 @@
 	maxProbeBodyBytes = 1 << 20
 )
 
-// makeBus sets up the topics that lead into the control loop.
+// makeBus creates the message bus and subscribes the control loop to its topics.
 func (d *Daemon) makeBus() error {
 	b, err := bus.New()
 	if err != nil {
@@ -98,17 +98,18 @@
 	return nil
 }
 
-// effects does what a tick wants done, each in the background.
+// effects performs the I/O that the control loop requests. Operations that may block
+// run in the background.
 type effects struct{ d *Daemon }
 
-// Send sends datagrams.
+// Send sends membership packets to their recipients.
 func (f *effects) Send(packets []membership.Packet) {
 	for _, p := range packets {
 		f.d.datagrams.Send(p.Datagram, p.To)
 	}
 }
 
-// Event puts an event on the bus.
+// Event publishes an event on the bus.
 func (f *effects) Event(e event.Event) {
 	raw, err := proto.Marshal(&adminpb.Event{
 		Number:  uint32(e.Number),
@@ -123,7 +124,8 @@
 	}
 }
 
-// Fetch gets a document from peers, or from the platform.
+// Fetch requests a document from the listed peers and, if fetch.Platform is set, from
+// the platform when no peer has it.
 func (f *effects) Fetch(fetch world.Fetch) {
 	f.d.wg.Go(func() {
 		if f.fetchFromPeers(fetch) {
@@ -133,7 +135,7 @@
 			f.d.engine.Post(func(now time.Time) { f.d.engine.FetchedNothing(now, fetch.Key) })
 			return
 		}
-		klog.InfoS("document asked of the platform", "key", fetch.Key, "after", fetch.After, "peers", len(fetch.Peers), "host", f.d.settings.Host)
+		klog.InfoS("fetching document from platform", "key", fetch.Key, "after", fetch.After, "peers", len(fetch.Peers), "host", f.d.settings.Host)
 		ctx, cancel := context.WithTimeout(f.d.ctx, callTimeout)
 		defer cancel()
 		value, err := f.d.platform.Get(ctx, fetch.Key, fetch.After)
@@ -144,23 +146,23 @@
 	})
 }
 
-// fetchFromPeers asks one peer after the other, each for PeerTimeout: one that hangs must
-// not keep the next from being asked.
+// fetchFromPeers asks the peers in turn until one returns the document. Each call has its
+// own time-out, so that a peer that hangs does not keep the next from being asked.
 func (f *effects) fetchFromPeers(fetch world.Fetch) bool {
 	for _, address := range fetch.Peers {
-		if f.fetchFrom(address, fetch) {
+		if f.fetchFromPeer(address, fetch) {
 			return true
 		}
 	}
 	return false
 }
 
-func (f *effects) fetchFrom(address string, fetch world.Fetch) bool {
+func (f *effects) fetchFromPeer(address string, fetch world.Fetch) bool {
 	ctx, cancel := context.WithTimeout(f.d.ctx, configsync.TimeoutOf(fetch))
 	defer cancel()
 	resp, err := f.d.clients.Peer(address).Document(ctx, &peerpb.DocumentRequest{Key: fetch.Key, After: fetch.After})
 	if err != nil {
-		klog.V(3).InfoS("document not had from peer", "key", fetch.Key, "peer", address, "err", err)
+		klog.V(3).InfoS("cannot fetch document from peer", "key", fetch.Key, "peer", address, "err", err)
 		return false
 	}
 	if resp.Revision <= fetch.After {
@@ -168,21 +170,21 @@
 	}
 	raw, err := configsync.Content(resp)
 	if err != nil {
-		klog.ErrorS(err, "document of a peer not used", "key", fetch.Key, "peer", address)
+		klog.ErrorS(err, "discarding invalid document from peer", "key", fetch.Key, "peer", address)
 		return false
 	}
 	f.d.publishDocument(fetch.Key, resp.Revision, raw)
 	return true
 }
 
-// Probe checks a backend server.
+// Probe sends a health check to a backend server and records the result.
 func (f *effects) Probe(p world.Probe) {
 	f.d.wg.Go(func() {
 		kind := peerpb.Observation_KIND_PROBE_GOOD
 		start := time.Now()
 		if err := f.probe(p); err != nil {
 			kind = peerpb.Observation_KIND_PROBE_FAILED
-			klog.V(3).InfoS("probe failed", "service", p.Service, "backend", p.Backend, "err", err)
+			klog.V(3).InfoS("health check failed", "service", p.Service, "backend", p.Backend, "err", err)
 		}
 		f.d.observer.Observe(&peerpb.Observation{Service: p.Service, Backend: p.Backend, Kind: kind, FirstByteUs: uint64(time.Since(start).Microseconds())})
 	})
@@ -207,18 +209,18 @@
 	}
 	echo := resp.Header.Get(protocol.HeaderRequestID)
 	if resp.StatusCode >= http.StatusInternalServerError || echo != "" && echo != id {
-		return fmt.Errorf("status %d, echo %q", resp.StatusCode, echo)
+		return fmt.Errorf("health check answered with status %d and request ID %q", resp.StatusCode, echo)
 	}
 	return nil
 }
 
-// SyncWith compares full states with the host at an address.
+// SyncWith performs a full state exchange with the host at an address.
 func (f *effects) SyncWith(address string) {
 	f.d.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(f.d.ctx, callTimeout)
 		defer cancel()
 		if err := f.sync(ctx, address); err != nil {
-			klog.V(3).InfoS("sync failed", "peer", address, "err", err)
+			klog.V(3).InfoS("state sync with peer failed", "peer", address, "err", err)
 		}
 	})
 }
@@ -245,15 +247,16 @@
 	})
 }
 
-// Reading starts or ends the watches of the platform.
-func (f *effects) Reading(reader bool) { f.d.watcher.set(reader) }
+// Reading starts or stops watching the platform.
+func (f *effects) Reading(reader bool) { f.d.watcher.setReader(reader) }
 
-// StopRequested asks the program to stop this host.
+// StopRequested closes the channel returned by StopRequests. Repeated calls have no
+// effect.
 func (f *effects) StopRequested() {
-	f.d.stopOnce.Do(func() { close(f.d.stopAsk) })
+	f.d.stopOnce.Do(func() { close(f.d.stopRequested) })
 }
 
-// Ticked publishes what operators see of the control loop.
+// Ticked updates the metrics of the control loop.
 func (f *effects) Ticked(d time.Duration, w *world.World) {
 	f.d.metrics.Tick(d)
 	live := 0
--- a/internal/daemon/limiter.go
+++ b/internal/daemon/limiter.go
@@ -14,21 +14,22 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// limiter is the shell of package quota on a host: it holds the lock and the clock, and
-// sends what the table has to tell.
+// limiter runs a quota.Table on a host: it provides locking, the clock and the transport
+// of the table's messages.
 type limiter struct {
 	d    *Daemon
-	kind peerpb.Datagram_Kind // of the datagrams of this table
-	life uint64
-	wake chan struct{} // the table is due earlier than it was
+	kind peerpb.Datagram_Kind // kind of this table's datagrams
+	life uint64               // identifies this run of the host to its peers
+	wake chan struct{}        // signals that due has moved to an earlier time
 
 	mu       sync.Mutex
 	table    *quota.Table
-	snapshot *world.Snapshot // the one whose hosts the table knows
-	due      time.Time
+	snapshot *world.Snapshot // last snapshot passed to the table
+	due      time.Time       // next time that the table needs a tick
 }
 
-// newCustomerLimiter holds customers' limits, by this host's configuration.
+// newCustomerLimiter returns a limiter that enforces the customer limits of this host's
+// configuration.
 func newCustomerLimiter(d *Daemon, life uint64) *limiter {
 	return newLimiter(d, peerpb.Datagram_KIND_QUOTA, life, quota.CustomerRule(), func(name string) (customer.Limit, bool) {
 		holder := d.engine.Snapshot().Customers.Named(name)
@@ -48,44 +49,47 @@
 func (l *limiter) Allow(ctx context.Context, name string, limit customer.Limit) (ok bool, retryAfter time.Duration) {
 	verdict, err := l.take(ctx, name, limit)
 	if err != nil {
-		return false, 0 // the caller has gone
+		return false, 0 // the caller has disconnected
 	}
 	l.d.metrics.Limited(verdict.OK)
 	return verdict.OK, verdict.RetryAfter
 }
 
-// take asks for one request. The error is that of ctx, if it ends before the home answers.
+// take acquires a permit for one request. It returns an error only if ctx ends before the
+// home host answers.
 func (l *limiter) take(ctx context.Context, name string, limit customer.Limit) (quota.Verdict, error) {
 	decided := make(chan quota.Verdict, 1)
-	verdict, now := quota.Verdict{}, false
-	l.do(func(at time.Time) {
-		verdict, now = l.table.Take(at, name, limit, func(v quota.Verdict) { decided <- v })
+	verdict, immediate := quota.Verdict{}, false
+	l.update(func(now time.Time) {
+		verdict, immediate = l.table.Take(now, name, limit, func(v quota.Verdict) { decided <- v })
 	})
-	if !now {
+	if !immediate {
 		select {
 		case verdict = <-decided:
 		case <-ctx.Done():
-			go l.giveBackLate(name, decided)
+			go l.refundLate(name, decided)
 			return quota.Verdict{}, context.Cause(ctx)
 		}
 	}
 	return verdict, nil
 }
 
-// giveBackLate gives back what is allowed to a request that nobody waits for any more.
-func (l *limiter) giveBackLate(name string, decided <-chan quota.Verdict) {
+// refundLate waits for the decision on an abandoned request and returns its permit if it
+// was granted.
+func (l *limiter) refundLate(name string, decided <-chan quota.Verdict) {
 	if verdict := <-decided; verdict.OK {
-		l.giveBack(name)
+		l.refund(name)
 	}
 }
 
-// giveBack returns what was allowed to a request that is not sent.
-func (l *limiter) giveBack(name string) {
-	l.do(func(now time.Time) { l.table.Return(now, name) })
+// refund returns the permit of a request that was not sent.
+func (l *limiter) refund(name string) {
+	l.update(func(now time.Time) { l.table.Return(now, name) })
 }
 
-// do works on the table and then sends and schedules what came of it.
-func (l *limiter) do(work func(now time.Time)) {
+// update applies work to the table under the lock, sends the resulting messages and wakes
+// run if the table is now due earlier.
+func (l *limiter) update(work func(now time.Time)) {
 	now := time.Now()
 	l.mu.Lock()
 	if snap := l.d.engine.Snapshot(); snap != l.snapshot {
@@ -124,7 +128,7 @@
 	for _, m := range messages {
 		address, known := snap.Sharing.Address(m.To)
 		if !known {
-			klog.V(3).InfoS("use of limits not told: the host is not known", "kind", l.kind, "peer", m.To)
+			klog.V(3).InfoS("dropping limit usage report: unknown host", "kind", l.kind, "peer", m.To)
 			continue
 		}
 		l.d.datagrams.Send(&peerpb.Datagram{
@@ -137,15 +141,15 @@
 	}
 }
 
-// receive takes what another host tells.
+// receive applies the usages and grants reported by another host.
 func (l *limiter) receive(datagram *peerpb.Datagram) {
-	l.do(func(now time.Time) {
+	l.update(func(now time.Time) {
 		l.table.Usages(now, datagram.From, datagram.Life, datagram.Usages)
 		l.table.Grants(now, datagram.From, datagram.Grants)
 	})
 }
 
-// run does what the time calls for until ctx ends.
+// run ticks the table whenever it is due, until ctx ends.
 func (l *limiter) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -155,7 +159,7 @@
 			return
 		case <-l.wake:
 		case <-timer.C:
-			l.do(func(now time.Time) {
+			l.update(func(now time.Time) {
 				l.table.Tick(now)
 				l.due = time.Time{}
 			})
@@ -172,10 +176,11 @@
 	return l.due
 }
 
-// Limits returns the customers, or servers, that this host serves, the busiest first.
+// Limits returns the limits of the customers or backend servers that this host serves,
+// busiest first.
 func (l *limiter) Limits() []quota.Row {
 	var rows []quota.Row
-	l.do(func(now time.Time) { rows = l.table.Rows(now) })
+	l.update(func(now time.Time) { rows = l.table.Rows(now) })
 	return rows
 }
 
--- a/internal/daemon/loadreport.go
+++ b/internal/daemon/loadreport.go
@@ -15,17 +15,18 @@
 )
 
 const (
-	// gatherFor is how long changes gather into one datagram. A request takes
-	// some 250 ms, so that this delays no decision by much.
-	gatherFor = 2 * time.Millisecond
-	// repeatAfter is when failures are told once more within the data centre, in
-	// case a datagram was lost. What is told are counts, so that a repeat changes
-	// nothing.
-	repeatAfter = 60 * time.Millisecond
+	// batchDelay is how long changes are collected into one datagram. It is short
+	// compared with a request, which takes about 250 ms, so load balancing decisions
+	// are hardly delayed.
+	batchDelay = 2 * time.Millisecond
+	// resendDelay is the time after which failures are reported a second time within
+	// the data centre, in case a datagram was lost. Reports carry counts, so a
+	// duplicate has no effect.
+	resendDelay = 60 * time.Millisecond
 )
 
-// loadReporter tells other hosts what this one does at the backend servers that they
-// use too.
+// loadReporter reports this host's load on backend servers to the other hosts that use
+// them.
 type loadReporter struct {
 	d     *Daemon
 	table *balance.Table
@@ -41,13 +42,13 @@
 		case <-refresh.C:
 			l.table.Refresh()
 		case <-l.table.Changed():
-			wait(ctx, gatherFor)
-			l.tell()
+			wait(ctx, batchDelay)
+			l.report()
 		}
 	}
 }
 
-func (l *loadReporter) tell() {
+func (l *loadReporter) report() {
 	near, failing := l.table.Changes()
 	snap := l.d.engine.Snapshot()
 	service := snap.SharedService
@@ -56,7 +57,7 @@
 		return
 	}
 	l.send(snap.Sharing.Far(failing, service))
-	time.AfterFunc(repeatAfter, func() {
+	time.AfterFunc(resendDelay, func() {
 		if l.d.ctx.Err() == nil {
 			l.send(snap.Sharing.Near(near, service))
 		}
@@ -75,12 +76,13 @@
 	}
 }
 
-// receive takes a datagram: loads go to the balancer at once, use of limits to the limiters
-// and servers' ends to the quarantine, all others to the control loop.
+// receive dispatches a datagram by kind: load reports go directly to the balancer, limit
+// usage to the limiters and server ends to the content guard. All other kinds go to the
+// control loop.
 func (d *Daemon) receive(from string, payload []byte) {
 	datagram := &peerpb.Datagram{}
 	if err := proto.Unmarshal(payload, datagram); err != nil {
-		klog.V(2).InfoS("datagram does not parse", "peer", from, "err", err)
+		klog.V(2).InfoS("cannot decode datagram", "peer", from, "err", err)
 		return
 	}
 	switch {
--- a/internal/daemon/observer.go
+++ b/internal/daemon/observer.go
@@ -15,29 +15,29 @@
 	"github.com/pearshelf/pearshelf/internal/metrics"
 )
 
-// observationQueue bounds the outcomes on their way to the control loop.
+// observationQueue is the capacity of the queue to the control loop.
 const observationQueue = 16384
 
-// observer passes outcomes from the request path to the control loop in
-// batches. Observe never blocks; what does not fit is counted and dropped.
+// observer passes request outcomes to the control loop in batches. Observe never
+// blocks; observations that exceed the queue are counted and dropped.
 type observer struct {
-	queue   chan *peerpb.Observation
-	bus     *bus.Bus
-	metrics *metrics.Metrics
-	events  event.Recorder
-	every   time.Duration
-	lost    atomic.Int64
-	// off is set where nothing in the control loop goes by outcomes.
-	off bool
+	queue    chan *peerpb.Observation
+	bus      *bus.Bus
+	metrics  *metrics.Metrics
+	events   event.Recorder
+	interval time.Duration
+	lost     atomic.Int64
+	// disabled is set if the control loop does not use outcomes.
+	disabled bool
 }
 
 func newObserver(b *bus.Bus, m *metrics.Metrics, events event.Recorder, every time.Duration) *observer {
-	return &observer{queue: make(chan *peerpb.Observation, observationQueue), bus: b, metrics: m, events: events, every: every}
+	return &observer{queue: make(chan *peerpb.Observation, observationQueue), bus: b, metrics: m, events: events, interval: every}
 }
 
-// Observe takes one outcome.
+// Observe queues one outcome.
 func (o *observer) Observe(observation *peerpb.Observation) {
-	if o.off {
+	if o.disabled {
 		return
 	}
 	select {
@@ -49,7 +49,7 @@
 }
 
 func (o *observer) run(ctx context.Context) {
-	repeat(ctx, o.every, o.flush)
+	runEvery(ctx, o.interval, o.flush)
 }
 
 func (o *observer) flush() {
--- a/internal/daemon/peerservice.go
+++ b/internal/daemon/peerservice.go
@@ -11,27 +11,28 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// peerService answers the synchronous calls of other hosts.
+// peerService handles synchronous calls from other hosts.
 type peerService struct{ d *Daemon }
 
-// Sync compares full states.
+// Sync handles a full state exchange.
 func (s *peerService) Sync(ctx context.Context, req *peerpb.SyncRequest) (resp *peerpb.SyncResponse, err error) {
 	err = s.d.engine.Do(ctx, func(_ *world.World, now time.Time) { resp = s.d.engine.AnswerSync(now, req) })
 	return resp, err
 }
 
-// Document returns a platform document if this host holds a newer one, or gets one
-// while the asker waits.
+// Document returns a platform document if this host holds a newer revision than the
+// requested one. If this host is fetching one, the call waits for it for up to
+// configsync.DocumentWait.
 func (s *peerService) Document(ctx context.Context, req *peerpb.DocumentRequest) (*peerpb.DocumentResponse, error) {
-	for give := time.Now().Add(configsync.DocumentWait); ; {
+	for deadline := time.Now().Add(configsync.DocumentWait); ; {
 		var resp *peerpb.DocumentResponse
-		var coming bool
+		var pending bool
 		var failed error
-		err := s.d.engine.Do(ctx, func(_ *world.World, now time.Time) { resp, coming, failed = s.d.engine.AnswerDocument(now, req) })
+		err := s.d.engine.Do(ctx, func(_ *world.World, now time.Time) { resp, pending, failed = s.d.engine.AnswerDocument(now, req) })
 		if err != nil || failed != nil {
 			return nil, cmp.Or(err, failed)
 		}
-		if !coming || time.Now().After(give) {
+		if !pending || time.Now().After(deadline) {
 			s.d.metrics.DocumentSent(req.Key, len(resp.GetDocument()))
 			return resp, nil
 		}
@@ -39,14 +40,14 @@
 	}
 }
 
-// Claim decides on an idempotency key.
+// Claim decides whether a request may run under an idempotency key.
 func (s *peerService) Claim(_ context.Context, req *peerpb.ClaimRequest) (*peerpb.ClaimResponse, error) {
 	key := claims.Key{Service: req.Service, Key: req.Key}
 	decision, holder := s.d.claims.Claim(key, req.RequestId, time.Duration(req.HoldMs)*time.Millisecond)
 	return &peerpb.ClaimResponse{Decision: decision, HolderRequestId: holder}, nil
 }
 
-// Release ends a claim.
+// Release releases a claim on an idempotency key.
 func (s *peerService) Release(_ context.Context, req *peerpb.ReleaseRequest) (*peerpb.ReleaseResponse, error) {
 	s.d.claims.Release(claims.Key{Service: req.Service, Key: req.Key}, req.RequestId, req.Finished)
 	return &peerpb.ReleaseResponse{}, nil
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -15,23 +15,23 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// contentGuard is the shell of package quarantine on a host: it holds the lock and the
-// clock, sends what the table has to tell and writes what it decides.
+// contentGuard runs a quarantine.Table on a host: it provides locking, the clock and the
+// transport of the table's messages, and publishes its decisions.
 type contentGuard struct {
 	d *Daemon
-	// watching mirrors Table.Watches, for requests that need no lock then.
+	// watching mirrors Table.Watches, so that requests can check it without the lock.
 	watching atomic.Bool
 
 	mu       sync.Mutex
 	table    *quarantine.Table
-	snapshot *world.Snapshot // the one that the table knows
+	snapshot *world.Snapshot // last snapshot passed to the table
 	timer    *time.Timer
-	timerFor time.Time     // when the timer is due
-	granted  chan struct{} // closed with the next grant of another host
+	timerDue time.Time     // when the timer fires
+	granted  chan struct{} // closed when another host next grants a trial
 }
 
-// grantWait is how long a request waits to be granted a trial: some round trips between data
-// centres.
+// grantWait is how long a request waits for a trial grant. It allows several round trips
+// between data centres.
 const grantWait = 50 * time.Millisecond
 
 func newContentGuard(d *Daemon) *contentGuard {
@@ -50,7 +50,7 @@
 		held := view.Get(id)
 		switch {
 		case held == nil:
-		case q.tries(held):
+		case q.allowTrial(held):
 			onTrial = true
 		default:
 			q.d.metrics.Quarantined(held.Service)
@@ -60,28 +60,28 @@
 	return nil, onTrial
 }
 
-// tries reports whether a request may be sent to see whether it still ends servers. It waits for
-// the answer of the content's first home, if it has asked that: the next request of the content may
-// come to this host much later.
-func (q *contentGuard) tries(held *quarantine.Quarantine) bool {
+// allowTrial reports whether a request with quarantined content may be sent as a trial, to find out
+// whether the content still ends servers. If the content's first home has to be asked, it waits for
+// the answer, because the next request with this content may reach this host much later.
+func (q *contentGuard) allowTrial(held *quarantine.Quarantine) bool {
 	granted := q.nextGrant()
-	tried, asked := q.trial(held)
+	allowed, asked := q.requestTrial(held)
 	if asked {
 		select {
 		case <-granted:
 		case <-time.After(grantWait):
 		}
-		tried, _ = q.trial(held)
+		allowed, _ = q.requestTrial(held)
 	}
-	if tried {
-		klog.InfoS("content tried", "content", held.Content.Label(), "scope", held.Scope, "service", held.Service, "trials", held.Trials, "host", q.d.settings.Host)
+	if allowed {
+		klog.InfoS("sending quarantined content on trial", "content", held.Content.Label(), "scope", held.Scope, "service", held.Service, "trials", held.Trials, "host", q.d.settings.Host)
 	}
-	return tried
+	return allowed
 }
 
-func (q *contentGuard) trial(held *quarantine.Quarantine) (tried, asked bool) {
-	q.do(func(now time.Time) { tried, asked = q.table.Trial(now, held) })
-	return tried, asked
+func (q *contentGuard) requestTrial(held *quarantine.Quarantine) (allowed, asked bool) {
+	q.update(func(now time.Time) { allowed, asked = q.table.Trial(now, held) })
+	return allowed, asked
 }
 
 // nextGrant returns a channel that is closed when another host next grants a trial to this one.
@@ -91,8 +91,8 @@
 	return q.granted
 }
 
-// noteGrant wakes those that wait for a grant.
-func (q *contentGuard) noteGrant() {
+// notifyGrant wakes all requests that wait for a trial grant.
+func (q *contentGuard) notifyGrant() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	close(q.granted)
@@ -102,7 +102,7 @@
 // Ended implements dispatch.Quarantine.
 func (q *contentGuard) Ended(subject quarantine.Subject, service, server string) {
 	q.d.metrics.ServerEnded(service)
-	q.do(func(now time.Time) {
+	q.update(func(now time.Time) {
 		for scope, id := range subject.IDs() {
 			q.table.Ended(now, id, quarantine.End{Scope: quarantine.Scope(scope), Service: service, Server: server, At: now})
 		}
@@ -111,29 +111,31 @@
 
 // Served implements dispatch.Quarantine.
 func (q *contentGuard) Served(subject quarantine.Subject) {
-	q.do(func(now time.Time) {
+	q.update(func(now time.Time) {
 		for _, id := range subject.IDs() {
 			q.table.Served(now, id)
 		}
 	})
 }
 
-// receive takes what another host tells.
+// receive applies a datagram from another host and wakes waiting requests if it grants a
+// trial.
 func (q *contentGuard) receive(datagram *peerpb.Datagram) {
-	q.do(func(now time.Time) { q.table.Receive(now, datagram) })
+	q.update(func(now time.Time) { q.table.Receive(now, datagram) })
 	if len(datagram.TrialGrants) > 0 {
-		q.noteGrant()
+		q.notifyGrant()
 	}
 }
 
 func (q *contentGuard) tick() {
 	if q.d.ctx.Err() == nil {
-		q.do(q.table.Tick)
+		q.update(q.table.Tick)
 	}
 }
 
-// do works on the table and then does what came of it.
-func (q *contentGuard) do(work func(now time.Time)) {
+// update applies work to the table under the lock, then sends the resulting messages and
+// publishes the resulting decisions.
+func (q *contentGuard) update(work func(now time.Time)) {
 	now := time.Now()
 	q.mu.Lock()
 	snap := q.d.engine.Snapshot()
@@ -150,20 +152,20 @@
 	q.mu.Unlock()
 	q.send(snap, messages)
 	for _, decision := range decisions {
-		q.carryOut(decision)
+		q.publish(decision)
 	}
 }
 
-// schedule sets the timer to when the table is due next, where that has changed.
+// schedule resets the timer if the table's next due time has changed.
 func (q *contentGuard) schedule(now time.Time) {
 	due := q.table.Due()
-	if due.Equal(q.timerFor) {
+	if due.Equal(q.timerDue) {
 		return
 	}
 	if q.timer != nil {
 		q.timer.Stop()
 	}
-	q.timerFor = due
+	q.timerDue = due
 	if !due.IsZero() {
 		q.timer = time.AfterFunc(due.Sub(now), q.tick)
 	}
@@ -173,7 +175,7 @@
 	for _, m := range messages {
 		address, known := snap.Sharing.Address(m.To)
 		if !known {
-			klog.V(3).InfoS("servers' ends not told: the host is not known", "peer", m.To)
+			klog.V(3).InfoS("dropping server end report: unknown host", "peer", m.To)
 			continue
 		}
 		q.d.datagrams.Send(&peerpb.Datagram{
@@ -189,8 +191,8 @@
 	}
 }
 
-// carryOut tells all hosts of a decision.
-func (q *contentGuard) carryOut(decision quarantine.Decision) {
+// publish announces a decision to all hosts through the control loop.
+func (q *contentGuard) publish(decision quarantine.Decision) {
 	posted := q.d.engine.Post(func(now time.Time) {
 		if decision.Quarantine == nil {
 			q.d.engine.Announce(now, quarantine.Lift(decision.Cleared))
@@ -200,18 +202,18 @@
 		q.announce(now, decision.Quarantine)
 	})
 	if !posted {
-		klog.InfoS("decision on a content dropped: the control loop is too slow", "cleared", decision.Quarantine == nil)
+		klog.InfoS("dropping quarantine decision: control loop queue is full", "cleared", decision.Quarantine == nil)
 	}
 }
 
 func (q *contentGuard) announce(now time.Time, decided *quarantine.Quarantine) {
 	if q.d.engine.Snapshot().Quarantine.Supersedes(decided) {
-		klog.InfoS("content not put under quarantine: another home has, or it was lifted meanwhile", "content", decided.Content.Label())
+		klog.InfoS("content not quarantined: superseded by another home host or lifted in the meantime", "content", decided.Content.Label())
 		return
 	}
 	r, err := decided.Register(now)
 	if err != nil {
-		klog.ErrorS(err, "content not put under quarantine", "content", decided.Content.Label())
+		klog.ErrorS(err, "cannot quarantine content", "content", decided.Content.Label())
 		return
 	}
 	q.d.engine.Announce(now, r)
--- a/internal/daemon/ratelimit.go
+++ b/internal/daemon/ratelimit.go
@@ -17,8 +17,7 @@
 	"github.com/pearshelf/pearshelf/internal/ratelimit"
 )
 
-// rateLimiter keeps what all hosts together send to backend servers within the rate limits that
-// these name.
+// rateLimiter enforces the rate limits that backend servers announce, across all hosts.
 type rateLimiter struct {
 	*limiter
 	listener *ratelimit.Listener
@@ -26,7 +25,7 @@
 
 func newRateLimiter(d *Daemon, life uint64) *rateLimiter {
 	limits := func(name string) (customer.Limit, bool) {
-		key, _ := process.ParseKey(name) // of another version of the daemon, and then not known
+		key, _ := process.ParseKey(name) // fails for keys of another daemon version, which Bound then does not find
 		limit, known := d.engine.Snapshot().RateLimits.Bound(key)
 		return limit.Bound(), known
 	}
@@ -37,24 +36,24 @@
 }
 
 // Heard implements dispatch.RateLimits.
-func (r *rateLimiter) Heard(server process.Server, sentAt time.Time, said protocol.RateLimit) {
-	if said.Unreadable != "" && r.listener.FirstUnreadable(server) {
-		klog.InfoS("rate limit of a server cannot be read", "service", server.Service, "backend", server.ID, "value", said.Unreadable)
+func (r *rateLimiter) Heard(server process.Server, sentAt time.Time, announced protocol.RateLimit) {
+	if announced.Unreadable != "" && r.listener.FirstUnreadable(server) {
+		klog.InfoS("cannot parse rate limit announced by server", "service", server.Service, "backend", server.ID, "value", announced.Unreadable)
 	}
-	report, isNew := r.listener.Hear(time.Now(), r.d.engine.Snapshot().RateLimits, server, sentAt, said)
+	report, isNew := r.listener.Hear(time.Now(), r.d.engine.Snapshot().RateLimits, server, sentAt, announced)
 	if !isNew {
 		return
 	}
-	if !r.d.engine.Post(func(now time.Time) { r.tell(now, report) }) {
-		klog.InfoS("rate limit of a server not told: the control loop is too slow", "service", server.Service, "backend", server.ID)
+	if !r.d.engine.Post(func(now time.Time) { r.announce(now, report) }) {
+		klog.InfoS("dropping server rate limit report: control loop queue is full", "service", server.Service, "backend", server.ID)
 	}
 }
 
-// tell tells all hosts of a report. It runs in the control loop.
-func (r *rateLimiter) tell(now time.Time, report ratelimit.Report) {
+// announce publishes a report to all hosts. It must run in the control loop.
+func (r *rateLimiter) announce(now time.Time, report ratelimit.Report) {
 	register, err := report.Register(now)
 	if err != nil {
-		klog.ErrorS(err, "rate limit of a server not told", "service", report.Server.Service, "backend", report.Server.ID)
+		klog.ErrorS(err, "cannot publish server rate limit", "service", report.Server.Service, "backend", report.Server.ID)
 		return
 	}
 	r.d.engine.Write(now, register)
@@ -82,7 +81,7 @@
 }
 
 // Return implements dispatch.RateLimits.
-func (r *rateLimiter) Return(server process.Server) { r.giveBack(server.Key().String()) }
+func (r *rateLimiter) Return(server process.Server) { r.refund(server.Key().String()) }
 
 // Promise implements dispatch.RateLimits.
 func (r *rateLimiter) Promise(servers []process.Server) time.Duration {
@@ -91,7 +90,7 @@
 		names = append(names, s.Key().String())
 	}
 	var after time.Duration
-	r.do(func(now time.Time) { after = r.table.Promise(now, names) })
+	r.update(func(now time.Time) { after = r.table.Promise(now, names) })
 	return after
 }
 
--- a/internal/daemon/recheck.go
+++ b/internal/daemon/recheck.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// recheckRound is the time between two looks for servers that must be asked.
-	recheckRound = time.Second
-	// recheckTimeout bounds one question.
+	// recheckInterval is the time between two scans for servers to recheck.
+	recheckInterval = time.Second
+	// recheckTimeout bounds one health check.
 	recheckTimeout = 2 * time.Second
 )
 
-// rechecker asks servers that have been leaving for long whether they still are: one that
-// says otherwise gets requests again. Without it a server that said so wrongly would be lost
-// for good.
+// rechecker sends health checks to servers that have been leaving for a long time. A server
+// that no longer reports that it is leaving gets requests again. Without these checks, a
+// server that reported leaving by mistake would never be used again.
 type rechecker struct {
 	servers  *availability.Table
 	snapshot func() *world.Snapshot
@@ -35,39 +35,39 @@
 	events   event.Recorder
 }
 
-// Run asks until ctx ends.
+// Run rechecks servers periodically until ctx ends.
 func (r *rechecker) Run(ctx context.Context) {
-	repeat(ctx, recheckRound, func() { r.round(ctx) })
+	runEvery(ctx, recheckInterval, func() { r.checkAll(ctx) })
 }
 
-func (r *rechecker) round(ctx context.Context) {
+func (r *rechecker) checkAll(ctx context.Context) {
 	for _, server := range r.servers.TakeRechecks(r.snapshot().LiveHosts) {
-		r.recheck(ctx, server)
+		r.check(ctx, server)
 	}
 }
 
-func (r *rechecker) recheck(ctx context.Context, server process.Server) {
-	stays, err := r.isStaying(ctx, server)
+func (r *rechecker) check(ctx context.Context, server process.Server) {
+	available, err := r.isAvailable(ctx, server)
 	if err != nil {
-		klog.V(2).InfoS("leaving server not asked", "service", server.Service, "backend", server.ID, "err", err)
+		klog.V(2).InfoS("cannot recheck leaving server", "service", server.Service, "backend", server.ID, "err", err)
 		return
 	}
-	if stays {
+	if available {
 		r.servers.Forget(server)
 		r.events.Record(event.BackendAvailable, server.Service, server.ID, "its health check says that it is not leaving")
 	}
 }
 
-// isStaying asks a server's health path. It stays if it is well, the one that was meant, and
-// does not say that it is leaving.
-func (r *rechecker) isStaying(ctx context.Context, server process.Server) (bool, error) {
+// isAvailable sends a health check to a server. The server is available if it answers 200,
+// is the expected instance and does not report that it is leaving.
+func (r *rechecker) isAvailable(ctx context.Context, server process.Server) (bool, error) {
 	view, ok := r.snapshot().Services[server.Service]
 	if !ok {
 		return false, fmt.Errorf("service %s is not configured", server.Service)
 	}
 	i := slices.IndexFunc(view.Backends, func(b world.BackendView) bool { return b.ID == server.ID })
 	if i < 0 || view.Config.Probe.Path == "" {
-		return false, errors.New("it is not listed, or has no health path")
+		return false, errors.New("server is not listed or its service has no health check path")
 	}
 	ctx, cancel := context.WithTimeout(ctx, recheckTimeout)
 	defer cancel()
@@ -75,12 +75,12 @@
 	if err != nil {
 		return false, err
 	}
-	answer, err := r.client.Do(req)
+	resp, err := r.client.Do(req)
 	if err != nil {
 		return false, err
 	}
-	defer answer.Body.Close()
-	named := r.protocol.Instance == "" || answer.Header.Get(r.protocol.Instance) == server.ID
-	leaves := r.protocol.ReadServerState(time.Now(), answer.StatusCode, answer.Header).Leaving
-	return answer.StatusCode == http.StatusOK && named && !leaves, nil
+	defer resp.Body.Close()
+	sameInstance := r.protocol.Instance == "" || resp.Header.Get(r.protocol.Instance) == server.ID
+	leaving := r.protocol.ReadServerState(time.Now(), resp.StatusCode, resp.Header).Leaving
+	return resp.StatusCode == http.StatusOK && sameInstance && !leaving, nil
 }
--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -16,11 +16,11 @@
 
 func (d *Daemon) makeServers() error {
 	front := frontend.New(frontend.Config{
-		Limiter:         d.limiter,
-		Protocol:        d.protocol,
-		ReadyApart:      d.listeners.ready != nil,
-		WhenReady:       d.engine.WhenReady(),
-		BodyIdleTimeout: time.Duration(d.settings.Caller.BodyIdleTimeout),
+		Limiter:               d.limiter,
+		Protocol:              d.protocol,
+		SeparateReadyListener: d.listeners.ready != nil,
+		WhenReady:             d.engine.WhenReady(),
+		BodyIdleTimeout:       time.Duration(d.settings.Caller.BodyIdleTimeout),
 	}, d.engine.Snapshot, d.dispatcher(), d.metrics)
 	service := admin.NewServer(admin.Parts{
 		Self:         d.settings.Host,
@@ -53,9 +53,9 @@
 	return nil
 }
 
-// makePeerServer serves requests handed over by other hosts beside the calls
-// of the peer protocol; the former are told by their header, because their
-// paths are the callers'.
+// makePeerServer serves forwarded requests from other hosts next to the calls of the
+// peer protocol. Forwarded requests are recognised by a header, because they keep the
+// paths that the callers chose.
 func (d *Daemon) makePeerServer(front *frontend.Frontend, service adminpb.Admin) error {
 	conf, err := peer.MutualTLS(d.settings.Peer.TLS)
 	if err != nil {
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -12,12 +12,12 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// StopRequests is closed when an operator asks this host to stop.
-func (d *Daemon) StopRequests() <-chan struct{} { return d.stopAsk }
+// StopRequests returns a channel that is closed when an operator asks this host to stop.
+func (d *Daemon) StopRequests() <-chan struct{} { return d.stopRequested }
 
-// Stop ends the host as planned: it announces the stop, goes on serving while
-// the balancer and the other hosts learn of it, lets every request in flight
-// finish, and leaves. ctx cuts the wait short.
+// Stop shuts the host down gracefully: it announces the stop, keeps serving while the
+// load balancer and the other hosts learn of it, drains the requests in flight and leaves
+// the fleet. If ctx ends, the remaining steps do not wait.
 func (d *Daemon) Stop(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(d.settings.Timing.StopTimeout))
 	defer cancel()
@@ -31,6 +31,7 @@
 	return err
 }
 
+// wait blocks for d or until ctx ends.
 func wait(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -40,9 +41,9 @@
 	}
 }
 
-// repeat does something at even times until ctx ends.
-func repeat(ctx context.Context, every time.Duration, do func()) {
-	ticker := time.NewTicker(every)
+// runEvery calls do at a fixed interval until ctx ends.
+func runEvery(ctx context.Context, interval time.Duration, do func()) {
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -54,7 +55,7 @@
 	}
 }
 
-// Kill ends the host at once, as a crash would.
+// Kill stops the host immediately, as a crash would.
 func (d *Daemon) Kill() {
 	d.cancel()
 	for _, server := range []*http.Server{d.callerServer, d.readyServer, d.peerServer, d.operatorServer} {
@@ -62,7 +63,7 @@
 			continue
 		}
 		if err := server.Close(); err != nil {
-			klog.V(3).InfoS("listener did not close cleanly", "err", err)
+			klog.V(3).InfoS("cannot close listener", "err", err)
 		}
 	}
 	d.closeSockets()
--- a/internal/daemon/uselog.go
+++ b/internal/daemon/uselog.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// useLogEvery is how often servers that fall out of use are looked for: more precise times
-	// would cost more passes over all servers of the subsets.
-	useLogEvery = 500 * time.Millisecond
-	// useLinesPerSecond bounds the lines about servers that fall out of use or are in use again.
-	useLinesPerSecond = 20
+	// useLogInterval is the time between two scans for servers that went out of use. A shorter
+	// interval would give more precise times, but needs more passes over all servers of the subsets.
+	useLogInterval = 500 * time.Millisecond
+	// useLogLinesPerSecond limits the log lines about servers that go out of use or are in use again.
+	useLogLinesPerSecond = 20
 )
 
-// useLog writes a line when a backend server of this host's subset falls out of use, and why, and
-// one when it is in use again: `pearshelf unused` reads them.
+// useLog logs when and why a backend server of this host's subset goes out of use, and when it is
+// in use again. The command `pearshelf unused` reads these lines.
 type useLog struct {
 	d     *Daemon
 	limit *logging.Limit
 }
 
 func newUseLog(d *Daemon) *useLog {
-	return &useLog{d: d, limit: logging.NewLimit(useLinesPerSecond)}
+	return &useLog{d: d, limit: logging.NewLimit(useLogLinesPerSecond)}
 }
 
 func (u *useLog) run(ctx context.Context) {
-	repeat(ctx, useLogEvery, func() { u.write(u.d.engine.Snapshot()) })
+	runEvery(ctx, useLogInterval, func() { u.write(u.d.engine.Snapshot()) })
 }
 
 func (u *useLog) write(snap *world.Snapshot) {
@@ -39,12 +39,12 @@
 	for name, view := range snap.Services {
 		req.Service = name
 		for _, change := range u.d.balance.UseChanges(view, req) {
-			u.line(snap, change)
+			u.log(snap, change)
 		}
 	}
 }
 
-func (u *useLog) line(snap *world.Snapshot, change policy.UseChange) {
+func (u *useLog) log(snap *world.Snapshot, change policy.UseChange) {
 	if !u.limit.Allows(time.Now()) {
 		return
 	}
@@ -61,12 +61,12 @@
 		"belief", change.Belief,
 		"troubled", change.Troubled,
 		"limited", change.Limited,
-		"hosts", u.hostsOf(snap, change),
+		"hosts", u.hostCount(snap, change),
 		"missed", u.limit.TakeMissed())
 }
 
-// hostsOf is how many hosts of this data centre use a server.
-func (u *useLog) hostsOf(snap *world.Snapshot, change policy.UseChange) int {
+// hostCount returns how many hosts of this data centre use a server.
+func (u *useLog) hostCount(snap *world.Snapshot, change policy.UseChange) int {
 	service := snap.SharedService(change.Service)
 	if service == nil {
 		return 1
--- a/internal/daemon/watcher.go
+++ b/internal/daemon/watcher.go
@@ -9,7 +9,7 @@
 	"github.com/pearshelf/pearshelf/internal/platform"
 )
 
-// watcher watches the platform while this host is a reader.
+// watcher watches the platform for configuration changes while this host is a reader.
 type watcher struct {
 	d *Daemon
 
@@ -19,7 +19,7 @@
 	seen   map[string]uint64
 }
 
-func (w *watcher) set(reader bool) {
+func (w *watcher) setReader(reader bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
@@ -35,10 +35,10 @@
 	ctx, cancel := context.WithCancel(w.d.ctx)
 	w.cancel = cancel
 	w.seen = make(map[string]uint64)
-	w.d.wg.Go(func() { w.d.platform.Watch(ctx, w.after, w.deliver, w.health) })
+	w.d.wg.Go(func() { w.d.platform.Watch(ctx, w.lastRevision, w.deliver, w.health) })
 }
 
-func (w *watcher) after(key string) uint64 {
+func (w *watcher) lastRevision(key string) uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.seen[key]
@@ -51,7 +51,8 @@
 	w.d.publishDocument(v.Key, v.Revision, v.Raw)
 }
 
-// health records when the platform goes away and comes back.
+// health records an event when the platform becomes unreachable and when it is reachable
+// again.
 func (w *watcher) health(err error) {
 	w.d.metrics.PlatformCall(err)
 	if err == nil {
--- a/internal/frontend/customer.go
+++ b/internal/frontend/customer.go
@@ -12,9 +12,10 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// identify settles once who the request's customer is, nil for nobody, and refuses a request
-// that needs one and has none, before its body is read.
-func (f *Frontend) identify(req *dispatch.Request, r *http.Request, snap *world.Snapshot, match route.Match) (*customer.Customer, error) {
+// identifyCustomer determines the customer of a request from its key. It returns nil for an anonymous
+// request on a public route and refuses any other request without a valid key. It runs once per request,
+// before the body is read.
+func (f *Frontend) identifyCustomer(req *dispatch.Request, r *http.Request, snap *world.Snapshot, match route.Match) (*customer.Customer, error) {
 	if snap.Customers.Empty() {
 		return nil, nil
 	}
@@ -34,7 +35,7 @@
 	case match.Public:
 		return nil, nil
 	default:
-		return nil, f.refused(req, &dispatch.Refusal{
+		return nil, f.recordRefusal(req, &dispatch.Refusal{
 			Outcome: dispatch.OutcomeNotRun,
 			Status:  http.StatusUnauthorized,
 			Err:     errs.New(errs.KindUnknownKey, "no customer holds the key of this request", "send one key of a customer as a bearer token; show customers lists customers"),
@@ -42,16 +43,16 @@
 	}
 }
 
-// refused logs a refusal and returns it.
-func (f *Frontend) refused(req *dispatch.Request, refusal *dispatch.Refusal) error {
+// recordRefusal logs and counts a refusal, and returns it as an error.
+func (f *Frontend) recordRefusal(req *dispatch.Request, refusal *dispatch.Refusal) error {
 	f.dispatcher.Refused(req, refusal)
 	f.metrics.Request(req.Service, string(refusal.Outcome), 0)
 	return refusal
 }
 
-// limit refuses at once what is beyond the customer's limit, before the body is read: it
-// takes no place in any queue and none of the retry allowance.
-func (f *Frontend) limit(ctx context.Context, req *dispatch.Request, holder *customer.Customer) error {
+// enforceLimit refuses a request that exceeds the customer's limit. It runs before the body is read,
+// so that a refused request takes no queue slot and none of the retry budget.
+func (f *Frontend) enforceLimit(ctx context.Context, req *dispatch.Request, holder *customer.Customer) error {
 	if holder == nil || holder.Limit.None() {
 		return nil
 	}
@@ -59,14 +60,14 @@
 	if ok {
 		return nil
 	}
-	return f.refused(req, &dispatch.Refusal{
+	return f.recordRefusal(req, &dispatch.Refusal{
 		Outcome:    dispatch.OutcomeNotRun,
 		Status:     http.StatusTooManyRequests,
 		RetryAfter: retryAfter,
-		Err:        errs.New(errs.KindCustomerLimit, limitReached(holder), "repeat the request after the time in Retry-After; show limits says what is used"),
+		Err:        errs.New(errs.KindCustomerLimit, limitMessage(holder), "repeat the request after the time in Retry-After; show limits says what is used"),
 	})
 }
 
-func limitReached(holder *customer.Customer) string {
+func limitMessage(holder *customer.Customer) string {
 	return "the limit of customer " + holder.Name + ", " + strconv.FormatFloat(holder.Limit.PerSecond, 'g', -1, 64) + " requests a second, is reached"
 }
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,6 +1,6 @@
-// Package frontend is the callers' side of a host, and the side on which other
-// hosts hand over requests. It checks a request, finds its route and turns
-// every refusal into a problem document (RFC 9457) with an outcome.
+// Package frontend implements the HTTP handlers for requests from callers and for
+// requests forwarded by other hosts. It validates each request, looks up its route
+// and reports every refusal as a problem document (RFC 9457) with an outcome.
 package frontend
 
 import (
@@ -30,40 +30,42 @@
 	maxSession        = 256
 	maxTimeout        = 2 * time.Hour
 
-	// startPatience is how long a request that comes before the configuration
-	// may wait for it: a host that has just started reads it in some 300 ms.
-	startPatience = 500 * time.Millisecond
+	// startupWait is how long a request may wait for the first configuration. A
+	// host reads it within about 300 ms of its start.
+	startupWait = 500 * time.Millisecond
 )
 
-// Dispatcher serves requests.
+// Dispatcher sends requests to backend servers.
 type Dispatcher interface {
 	Serve(w http.ResponseWriter, req *dispatch.Request) error
-	// Refused notes a request that was refused before Serve.
+	// Refused records a request that was refused before Serve.
 	Refused(req *dispatch.Request, refusal *dispatch.Refusal)
 }
 
-// Limiter bounds what customers ask of all hosts together.
+// Limiter enforces customer limits across all hosts.
 type Limiter interface {
-	// Allow takes one request of a customer off its limit. If the limit is reached it
-	// returns false and when the request may come back.
+	// Allow counts one request against a customer's limit. If the limit is reached, it
+	// returns false and the time after which the request may be retried.
 	Allow(ctx context.Context, name string, limit customer.Limit) (ok bool, retryAfter time.Duration)
 }
 
-// Config of a Frontend.
+// Config configures a Frontend.
 type Config struct {
-	// Limiter bounds customers.
+	// Limiter enforces customer limits.
 	Limiter Limiter
-	// Protocol is what callers speak.
+	// Protocol defines the headers exchanged with callers.
 	Protocol *protocol.Protocol
-	// WhenReady is closed once the first configuration is in force.
+	// WhenReady is closed once the first configuration has been applied.
 	WhenReady <-chan struct{}
-	// ReadyApart is set where the balancer has a listener of its own.
-	ReadyApart bool
-	// BodyIdleTimeout ends a request whose body stands still, either way.
+	// SeparateReadyListener is set if readiness checks are served on their own listener
+	// instead of the caller listener.
+	SeparateReadyListener bool
+	// BodyIdleTimeout bounds each read of a request body and each write of a response
+	// body.
 	BodyIdleTimeout time.Duration
 }
 
-// Frontend makes the handlers.
+// Frontend provides the HTTP handlers of a host.
 type Frontend struct {
 	conf       Config
 	snapshot   func() *world.Snapshot
@@ -79,15 +81,15 @@
 // handler is an http.HandlerFunc that may return a refusal.
 type handler func(w http.ResponseWriter, r *http.Request, id string) error
 
-// CallerHandler serves callers.
+// CallerHandler returns the handler for requests from callers.
 func (f *Frontend) CallerHandler() http.Handler {
 	router := chi.NewRouter()
-	if !f.conf.ReadyApart {
+	if !f.conf.SeparateReadyListener {
 		router.Get(f.conf.Protocol.ReadyPath, f.ready)
 	}
 	wrapped := f.wrap(f.serveCaller)
 	serve := func(w http.ResponseWriter, r *http.Request) {
-		r.Header.Del(dispatch.HeaderForwardedBy) // a caller must not pass for a host
+		r.Header.Del(dispatch.HeaderForwardedBy) // callers must not impersonate a host
 		wrapped(w, r)
 	}
 	router.NotFound(serve)
@@ -95,17 +97,18 @@
 	return router
 }
 
-// ReadyHandler answers the balancer on a listener of its own.
+// ReadyHandler returns the handler of the separate listener for readiness checks.
 func (f *Frontend) ReadyHandler() http.Handler {
 	router := chi.NewRouter()
 	router.Get(f.conf.Protocol.ReadyPath, f.ready)
 	return router
 }
 
-// ForwardHandler serves requests that other hosts hand over.
+// ForwardHandler returns the handler for requests forwarded by other hosts.
 func (f *Frontend) ForwardHandler() http.Handler { return f.wrap(f.serveForwarded) }
 
-// IsForwarded reports whether a request on the peer listener was handed over.
+// IsForwarded reports whether a request on the peer listener was forwarded by another
+// host.
 func IsForwarded(r *http.Request) bool { return r.Header.Get(dispatch.HeaderForwardedBy) != "" }
 
 func (f *Frontend) ready(w http.ResponseWriter, _ *http.Request) {
@@ -114,31 +117,33 @@
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 		return
 	}
-	_, _ = io.WriteString(w, "ready\n") // the balancer asks again
+	_, _ = io.WriteString(w, "ready\n") // the load balancer repeats the check
 }
 
 func (f *Frontend) wrap(serve handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		control := http.NewResponseController(w)
 		if r.ProtoMajor == 1 && dispatch.IsStreamed(r) {
-			// The server cannot use the connection again if the body was not read
-			// to its end before the answer.
-			_ = control.EnableFullDuplex() // without it, the body goes first
+			// The server cannot reuse the connection if the body has not been read to
+			// its end before the response.
+			_ = control.EnableFullDuplex() // otherwise the server reads the body before it responds
 			w.Header().Set("Connection", "close")
 		}
-		guarded := &idleWriter{ResponseWriter: w, control: control, idle: f.conf.BodyIdleTimeout}
-		r.Body = &idleReader{ReadCloser: r.Body, control: control, idle: f.conf.BodyIdleTimeout}
+		writer := &idleWriter{ResponseWriter: w, control: control, timeout: f.conf.BodyIdleTimeout}
+		r.Body = &idleReader{ReadCloser: r.Body, control: control, timeout: f.conf.BodyIdleTimeout}
 		if f.snapshot().Leaving && r.ProtoMajor == 1 {
 			w.Header().Set("Connection", "close")
 		}
 		id := f.requestID(r)
-		if err := serve(guarded, r, id); err != nil {
+		if err := serve(writer, r, id); err != nil {
 			f.writeRefusal(w, r, id, err)
 		}
 	}
 }
 
-// requestID keeps the ID that the entry host gave, and gives one on it.
+// requestID returns the ID that the entry host assigned to a forwarded request. For any
+// other request, this host is the entry host and keeps the caller's ID, if the protocol
+// allows that, or assigns a new one.
 func (f *Frontend) requestID(r *http.Request) string {
 	if IsForwarded(r) {
 		return r.Header.Get(protocol.HeaderRequestID)
@@ -174,7 +179,7 @@
 	req.Homes = match.Homes
 	req.Key = r.Header.Get(dispatch.HeaderIdempotencyKey)
 	req.Session = r.Header.Get(dispatch.HeaderSession)
-	holder, err := f.identify(req, r, snap, match)
+	holder, err := f.identifyCustomer(req, r, snap, match)
 	if err != nil {
 		return err
 	}
@@ -188,20 +193,20 @@
 		return err
 	}
 	req.Bound(match.Timeout)
-	if err := f.limit(r.Context(), req, holder); err != nil {
+	if err := f.enforceLimit(r.Context(), req, holder); err != nil {
 		return err
 	}
 	return f.dispatch(w, req)
 }
 
-// awaitReady returns the newest view, after a short wait if there is no
-// configuration yet.
+// awaitReady returns the latest snapshot. If the host has no configuration yet, it waits
+// for one for up to startupWait.
 func (f *Frontend) awaitReady(ctx context.Context) *world.Snapshot {
 	snap := f.snapshot()
 	if snap.Ready {
 		return snap
 	}
-	timer := time.NewTimer(startPatience)
+	timer := time.NewTimer(startupWait)
 	defer timer.Stop()
 	select {
 	case <-f.conf.WhenReady:
@@ -216,30 +221,32 @@
 	req := dispatch.NewRequest(r)
 	req.ID = id
 	req.Service = r.Header.Get(dispatch.HeaderService)
-	req.Idempotent = r.Header.Get(dispatch.HeaderIdempotent) == "true" && f.idempotentHere(snap, r, req.Service)
+	req.Idempotent = r.Header.Get(dispatch.HeaderIdempotent) == "true" && f.locallyIdempotent(snap, r, req.Service)
 	req.Key = r.Header.Get(dispatch.HeaderIdempotencyKey)
 	req.Session = r.Header.Get(dispatch.HeaderSession)
 	req.Customer = r.Header.Get(protocol.HeaderCustomer)
 	req.ForwardedBy = r.Header.Get(dispatch.HeaderForwardedBy)
-	req.Homes = homesHere(snap, r, req)
-	left, err := strconv.ParseInt(r.Header.Get(protocol.HeaderDeadline), 10, 64)
+	req.Homes = localHomes(snap, r, req)
+	remainingMs, err := strconv.ParseInt(r.Header.Get(protocol.HeaderDeadline), 10, 64)
 	if err != nil || req.Service == "" || id == "" {
 		return refuse(http.StatusBadRequest, errs.KindBadRequest, "forwarded request lacks a header", "run one version of the daemon on all hosts")
 	}
-	req.Deadline = time.Now().Add(time.Duration(left) * time.Millisecond)
+	req.Deadline = time.Now().Add(time.Duration(remainingMs) * time.Millisecond)
 	req.Explicit = r.Header.Get(dispatch.HeaderTimeout) != ""
 	return f.dispatch(w, req)
 }
 
-// idempotentHere holds a request for non-idempotent if this host's own
-// configuration says so: of two opinions the careful one counts.
-func (f *Frontend) idempotentHere(snap *world.Snapshot, r *http.Request, service string) bool {
+// locallyIdempotent reports whether this host's configuration allows a forwarded request to
+// be treated as idempotent. If the configurations of the two hosts differ, the request
+// counts as non-idempotent, which is the safe choice.
+func (f *Frontend) locallyIdempotent(snap *world.Snapshot, r *http.Request, service string) bool {
 	match, ok := snap.Routes.Lookup(hostName(r), r.Method, r.URL.Path)
 	return !ok || match.Service != service || match.Idempotent
 }
 
-// homesHere returns the homes of a forwarded request by this host's own configuration.
-func homesHere(snap *world.Snapshot, r *http.Request, req *dispatch.Request) region.Homes {
+// localHomes returns the home regions of a forwarded request according to this host's
+// configuration.
+func localHomes(snap *world.Snapshot, r *http.Request, req *dispatch.Request) region.Homes {
 	match, _ := snap.Routes.Lookup(hostName(r), r.Method, r.URL.Path)
 	homes := match.Homes
 	if holder := snap.Customers.Named(req.Customer); holder != nil {
@@ -262,8 +269,8 @@
 	return err
 }
 
-// checkPath refuses paths that a backend server could read differently from
-// the route table.
+// checkPath refuses paths that a backend server could interpret differently from the
+// route table.
 func checkPath(r *http.Request) error {
 	p := r.URL.Path
 	clean := path.Clean(p)
@@ -296,6 +303,8 @@
 	return nil
 }
 
+// hostName returns the Host header without its port. IPv6 literals with a port are
+// returned unchanged.
 func hostName(r *http.Request) string {
 	host, _, found := strings.Cut(r.Host, ":")
 	if found && strings.HasPrefix(r.Host, "[") {
--- a/internal/frontend/idle.go
+++ b/internal/frontend/idle.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// idleReader ends a request body that stands still.
+// idleReader fails reads of a request body that makes no progress within the timeout.
 type idleReader struct {
 	io.ReadCloser
 	control *http.ResponseController
-	idle    time.Duration
+	timeout time.Duration
 }
 
-// Read sets a deadline for each read and lifts it at the end: a deadline that
-// passed later would look as if the caller had gone.
+// Read sets a deadline for each read and clears it at the end of the body, because a
+// deadline that expires later would look like a disconnected caller.
 func (r *idleReader) Read(p []byte) (int, error) {
-	_ = r.control.SetReadDeadline(time.Now().Add(r.idle)) // not all writers have one
+	_ = r.control.SetReadDeadline(time.Now().Add(r.timeout)) // not every writer supports deadlines
 	n, err := r.ReadCloser.Read(p)
 	if err != nil {
 		_ = r.control.SetReadDeadline(time.Time{})
@@ -24,16 +24,16 @@
 	return n, err
 }
 
-// idleWriter ends an answer that the caller does not take.
+// idleWriter fails writes of a response that the caller does not read within the timeout.
 type idleWriter struct {
 	http.ResponseWriter
 	control *http.ResponseController
-	idle    time.Duration
+	timeout time.Duration
 }
 
 // Write sets a deadline for each write.
 func (w *idleWriter) Write(p []byte) (int, error) {
-	_ = w.control.SetWriteDeadline(time.Now().Add(w.idle)) // not all writers have one
+	_ = w.control.SetWriteDeadline(time.Now().Add(w.timeout)) // not every writer supports deadlines
 	return w.ResponseWriter.Write(p)
 }
 
@@ -46,7 +46,7 @@
 	_ http.ResponseWriter = (*idleWriter)(nil)
 )
 
-// discard reads the body to its end, and reports whether that came within wait.
+// discard reads the body to its end and reports whether it was reached within wait.
 func (r *idleReader) discard(wait time.Duration) bool {
 	if r.control.SetReadDeadline(time.Now().Add(wait)) != nil {
 		return false
--- a/internal/frontend/problem.go
+++ b/internal/frontend/problem.go
@@ -26,7 +26,7 @@
 
 const problemTypePrefix = "urn:pearshelf:problem:"
 
-// proxyErrors are the error types of Proxy-Status (RFC 9209, 2.3).
+// proxyErrors maps error kinds to Proxy-Status error types (RFC 9209, section 2.3).
 var proxyErrors = map[errs.Kind]string{
 	errs.KindDialFailed:    "connection_refused",
 	errs.KindDeadline:      "http_response_timeout",
@@ -43,7 +43,7 @@
 	errs.KindQuarantined:   "http_request_denied",
 }
 
-const proxyErrorDefault = "proxy_internal_response"
+const defaultProxyError = "proxy_internal_response"
 
 func (f *Frontend) writeRefusal(w http.ResponseWriter, r *http.Request, id string, err error) {
 	var refusal *dispatch.Refusal
@@ -69,7 +69,7 @@
 	if refusal.RetryAfter > 0 {
 		h.Set("Retry-After", f.conf.Protocol.FormatRetryAfter(refusal.RetryAfter))
 	}
-	settleBody(w, r)
+	drainBody(w, r)
 	w.WriteHeader(refusal.Status)
 	body := problem{
 		Type:      problemTypePrefix + string(refusal.Err.Kind),
@@ -81,34 +81,34 @@
 		RequestID: id,
 	}
 	if err := json.NewEncoder(w).Encode(body); err != nil {
-		klog.V(3).InfoS("refusal not delivered", "request", id, "err", err)
+		klog.V(3).InfoS("cannot write problem document", "request", id, "err", err)
 	}
 }
 
-// refusedBodyWait is how long a refusal waits for the rest of a body. A short body comes
-// with its head and leaves the connection usable; the rest of a long or slow one is not
-// waited for.
-const refusedBodyWait = 20 * time.Millisecond
+// refusedBodyTimeout is how long a refusal waits for the rest of the request body. A short
+// body arrives together with its headers, and reading it keeps the connection reusable. The
+// rest of a long or slow body is not worth the wait.
+const refusedBodyTimeout = 20 * time.Millisecond
 
-// settleBody takes what is there of the body of a refused request. If that is not all,
-// the answer goes out before the rest, which the server would otherwise read first, and
-// the connection ends with it.
-func settleBody(w http.ResponseWriter, r *http.Request) {
-	guarded, ok := r.Body.(*idleReader)
+// drainBody reads the body of a refused request if it arrives within refusedBodyTimeout.
+// Otherwise it lets the response be sent before the rest of the body, which the server
+// would read first by default, and closes the connection after the response.
+func drainBody(w http.ResponseWriter, r *http.Request) {
+	body, ok := r.Body.(*idleReader)
 	if !ok || r.ProtoMajor != 1 || r.ContentLength == 0 {
 		return
 	}
-	if !dispatch.IsStreamed(r) && guarded.discard(refusedBodyWait) {
+	if !dispatch.IsStreamed(r) && body.discard(refusedBodyTimeout) {
 		return
 	}
 	w.Header().Set("Connection", "close")
-	_ = guarded.control.EnableFullDuplex() // without it, the body goes first
+	_ = body.control.EnableFullDuplex() // otherwise the server reads the body before it responds
 }
 
 func proxyStatus(kind errs.Kind) string {
 	name, ok := proxyErrors[kind]
 	if !ok {
-		name = proxyErrorDefault
+		name = defaultProxyError
 	}
 	return `pearshelf; error=` + name + `; details="` + string(kind) + `"`
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -140,7 +140,7 @@
 mutant "key stays here" internal/dispatch/request.go 's/r.HideKey \&\& sameHeader/false \&\& sameHeader/' ./platform -run TestServerIsToldTheCustomer
 mutant "customer is ours to name" internal/dispatch/request.go 's/sameHeader(name, marks.Customer) || /name == "" || /' ./platform -run TestServerIsToldTheCustomer
 mutant "trailers hide the customer" internal/dispatch/request.go 's/^	r.hideCustomer(passed, marks)$//' ./platform -run TestTrailers
-mutant "refusal before the body" internal/frontend/problem.go 's/^	settleBody(w, r)$//' ./platform -run TestUnknownKeyIsRefusedBefore -timeout 20s
+mutant "refusal before the body" internal/frontend/problem.go 's/^	drainBody(w, r)$//' ./platform -run TestUnknownKeyIsRefusedBefore -timeout 20s
 mutant "rate limits are asked for" internal/dispatch/ratelimit.go 's/case !verdict.OK:/case false:/' ./platform -run AllServersLimited
 mutant "unused token goes back" internal/dispatch/send.go 's/		x.returnToken(token)/		_ = token/' ./platform -run UnusedToken
 mutant "copies spare limited servers" internal/policy/copies.go 's/if r.Beside .*/if false {/' ./internal/policy -run Spared
