--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	idlePerHost = 64
-	idleTimeout = 90 * time.Second
+	maxIdleConnsPerHost = 64
+	idleTimeout         = 90 * time.Second
 )
 
-// Clients makes and keeps the clients of other hosts.
+// Clients creates and caches the clients for calls to other hosts.
 type Clients struct {
 	scheme string
 	http   *http.Client
@@ -33,7 +33,7 @@
 	}
 	transport := &http.Transport{
 		TLSClientConfig:     conf,
-		MaxIdleConnsPerHost: idlePerHost,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     idleTimeout,
 		DialContext:         dialer.DialContext,
 	}
@@ -45,7 +45,7 @@
 	}
 }
 
-// Peer returns the peer client of an address.
+// Peer returns the client of the peer API at an address.
 func (c *Clients) Peer(address string) peerpb.Peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,7 +57,7 @@
 	return client
 }
 
-// Admin returns the operators' client of an address.
+// Admin returns the client of the admin API at an address.
 func (c *Clients) Admin(address string) adminpb.Admin {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,5 +69,5 @@
 	return client
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Clients) Close() { c.http.CloseIdleConnections() }
--- a/internal/peer/datagram.go
+++ b/internal/peer/datagram.go
@@ -1,5 +1,6 @@
-// Package peer is the transport between hosts: encrypted datagrams for
-// membership and changes, twirp over HTTP for synchronous calls.
+// Package peer implements the transport between hosts: optionally encrypted datagrams
+// for membership, state changes, load and limits, and Twirp over HTTP for synchronous
+// calls.
 package peer
 
 import (
@@ -26,20 +27,21 @@
 	datagramKeyBytes = 32
 )
 
-// Sealer encrypts datagrams; a nil Sealer passes them in plaintext.
+// Sealer encrypts and authenticates datagrams with AES-GCM. A nil Sealer passes them in
+// plaintext.
 type Sealer struct {
 	aead cipher.AEAD
 }
 
-// LoadSealer reads a key file with 64 hex digits.
+// LoadSealer reads a 256-bit key from a file with 64 hex digits.
 func LoadSealer(path string) (*Sealer, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.KindSettings, "datagram key cannot be read", "name a readable file in peer.datagram_key_file")
+		return nil, errs.Wrap(err, errs.KindSettings, "cannot read datagram key file", "set peer.datagram_key_file to a readable file")
 	}
 	key, err := hex.DecodeString(strings.TrimSpace(string(raw)))
 	if err != nil || len(key) != datagramKeyBytes {
-		return nil, errs.New(errs.KindSettings, "datagram key is not 64 hex digits", "make one with: openssl rand -hex 32")
+		return nil, errs.New(errs.KindSettings, "datagram key is not 64 hex digits", "generate one with: openssl rand -hex 32")
 	}
 	block, err := aes.NewCipher(key)
 	if err != nil {
@@ -67,7 +69,7 @@
 	}
 	size := s.aead.NonceSize()
 	if len(sealed) < size {
-		return nil, errors.New("datagram too short")
+		return nil, errors.New("datagram is shorter than its nonce")
 	}
 	return s.aead.Open(nil, sealed[:size], sealed[size:], nil)
 }
@@ -78,13 +80,14 @@
 	sealer *Sealer
 
 	receivedBytes atomic.Uint64
-	sentByKind    [kinds]atomic.Uint64
+	sentByKind    [maxKinds]atomic.Uint64
 }
 
-// kinds bounds the kinds of datagrams that are counted apart.
-const kinds = 32
+// maxKinds is the number of datagram kinds that are counted separately. Higher kinds are
+// counted with the last one.
+const maxKinds = 32
 
-// ListenDatagrams opens the socket.
+// ListenDatagrams opens a UDP socket on an address.
 func ListenDatagrams(address string, sealer *Sealer) (*Datagrams, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -92,35 +95,35 @@
 	}
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
 	if err != nil {
-		return nil, errs.Wrap(err, errs.KindSettings, "datagram listener cannot be opened", "free the port or change peer.listen")
+		return nil, errs.Wrap(err, errs.KindSettings, "cannot open datagram listener", "free the port or change peer.listen")
 	}
 	return &Datagrams{conn: conn, sealer: sealer}, nil
 }
 
-// Send encodes a datagram once and sends it to each of some addresses; a lost one is
-// like any lost datagram.
+// Send encodes a datagram once and sends it to each address. Errors are treated like the
+// loss of a datagram on the network.
 func (d *Datagrams) Send(datagram *peerpb.Datagram, to ...string) {
 	raw, err := proto.Marshal(datagram)
 	if err != nil {
-		klog.V(2).InfoS("datagram does not encode", "kind", datagram.Kind, "err", err)
+		klog.V(2).InfoS("cannot encode datagram", "kind", datagram.Kind, "err", err)
 		return
 	}
 	sealed := d.sealer.seal(raw)
-	sent := &d.sentByKind[min(uint(datagram.Kind), kinds-1)]
+	sent := &d.sentByKind[min(uint(datagram.Kind), maxKinds-1)]
 	for _, address := range to {
 		sent.Add(uint64(d.sendTo(address, sealed)))
 	}
 }
 
-// sendTo returns how many bytes were sent.
+// sendTo sends an encoded datagram and returns the number of bytes sent.
 func (d *Datagrams) sendTo(address string, sealed []byte) int {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
-		klog.V(2).InfoS("datagram has no address", "peer", address, "err", err)
+		klog.V(2).InfoS("cannot send datagram: invalid address", "peer", address, "err", err)
 		return 0
 	}
 	if _, err := d.conn.WriteToUDPAddrPort(sealed, at); err != nil {
-		return 0 // like any lost datagram
+		return 0 // treated as a lost datagram
 	}
 	return len(sealed)
 }
@@ -134,7 +137,7 @@
 			return
 		}
 		if err != nil {
-			continue // such as a port-unreachable notice for an earlier send
+			continue // e.g. ICMP port unreachable for an earlier datagram
 		}
 		d.receivedBytes.Add(uint64(n))
 		plain, err := d.sealer.open(buffer[:n])
@@ -146,7 +149,7 @@
 	}
 }
 
-// Bytes returns the bytes sent and received so far.
+// Bytes returns the total number of bytes sent and received.
 func (d *Datagrams) Bytes() (sent, received uint64) {
 	for i := range d.sentByKind {
 		sent += d.sentByKind[i].Load()
@@ -154,7 +157,7 @@
 	return sent, d.receivedBytes.Load()
 }
 
-// SentByKind returns the bytes sent so far by kind of datagram.
+// SentByKind returns the total number of bytes sent, by datagram kind.
 func (d *Datagrams) SentByKind() map[string]uint64 {
 	sent := make(map[string]uint64)
 	for i := range d.sentByKind {
--- a/internal/peer/tls.go
+++ b/internal/peer/tls.go
@@ -15,8 +15,8 @@
 
 var dialer = &net.Dialer{Timeout: dialTimeout}
 
-// MutualTLS loads keys for a listener and its clients: each side must show a
-// certificate of the CA. It returns nil if no keys are configured.
+// MutualTLS returns the TLS configuration of a listener and its clients. Each side must
+// present a certificate signed by the CA. It returns nil if TLS is not configured.
 func MutualTLS(files settings.TLS) (*tls.Config, error) {
 	conf, err := ServerTLS(files)
 	if conf == nil || err != nil {
@@ -24,11 +24,11 @@
 	}
 	raw, err := os.ReadFile(files.CAFile)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.KindSettings, "CA file cannot be read", "name a readable PEM file in ca_file")
+		return nil, errs.Wrap(err, errs.KindSettings, "cannot read CA file", "set ca_file to a readable PEM file")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(raw) {
-		return nil, errs.New(errs.KindSettings, "CA file holds no certificate", "name a PEM file with the CA's certificate in ca_file")
+		return nil, errs.New(errs.KindSettings, "CA file contains no certificate", "set ca_file to a PEM file with the CA's certificate")
 	}
 	conf.ClientCAs = pool
 	conf.RootCAs = pool
@@ -36,14 +36,15 @@
 	return conf, nil
 }
 
-// ServerTLS loads a listener's own keys, or returns nil if there are none.
+// ServerTLS returns the TLS configuration of a listener with its own key pair, or nil if
+// TLS is not configured.
 func ServerTLS(files settings.TLS) (*tls.Config, error) {
 	if !files.Enabled() {
 		return nil, nil
 	}
 	cert, err := tls.LoadX509KeyPair(files.CertFile, files.KeyFile)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.KindSettings, "TLS keys cannot be loaded", "name matching PEM files in cert_file and key_file")
+		return nil, errs.Wrap(err, errs.KindSettings, "cannot load TLS key pair", "set cert_file and key_file to matching PEM files")
 	}
 	return &tls.Config{Certificates: []tls.Certificate{cert}, MinVersion: tls.VersionTLS12}, nil
 }
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -1,6 +1,6 @@
-// Package protocol names the headers that callers, hosts and backend servers
-// use, so that one dispatcher serves the product's own interface and, through
-// an adapter, that of a platform.
+// Package protocol defines the HTTP headers exchanged between callers, hosts and
+// backend servers. The dispatcher takes them from a Protocol, so that it can serve
+// Pearshelf's own interface as well as, through an adapter, that of a platform.
 package protocol
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Headers of the product's own interface.
+// Headers of Pearshelf's own interface.
 const (
 	HeaderRequestID = "Pearshelf-Request-Id"
 	HeaderTimeout   = "Pearshelf-Timeout-Ms"
@@ -22,60 +22,63 @@
 	HeaderLimit     = "Pearshelf-Limit"
 )
 
-// Load is what a backend server says of its own load.
+// Load is the load that a backend server reports.
 type Load struct {
-	// Running requests hold a slot, Waiting ones do not yet.
+	// Running is the number of requests that hold a slot.
 	Running int
+	// Waiting is the number of requests that wait for a slot.
 	Waiting int
 }
 
-// Protocol is a set of header names and the readings of their values. An empty
-// name means that the protocol has no such header.
+// Protocol is a set of header names with the functions that parse and format their
+// values. An empty name means that the protocol has no such header.
 type Protocol struct {
-	// RequestID names one request to callers and backend servers.
+	// RequestID is the header that identifies a request to callers and backend servers.
 	RequestID string
-	// CallerNamesRequests is whether the caller's own request ID is kept. If
-	// not, the entry host gives one, because callers may repeat theirs.
+	// CallerNamesRequests reports whether the caller's own request ID is kept. If not,
+	// the entry host assigns one, because callers may reuse theirs.
 	CallerNamesRequests bool
-	// Sessions is whether the entry host gives each caller a session.
+	// Sessions reports whether the entry host assigns a session to requests without one.
 	Sessions bool
-	// Timeout is how long a caller waits, in milliseconds.
+	// Timeout is the header for how long the caller waits, in milliseconds.
 	Timeout string
-	// Deadline tells a backend server how many milliseconds are left.
+	// Deadline is the header that tells a backend server how many milliseconds remain.
 	Deadline string
-	// NotRun marks an answer of a backend server that did not run the request.
+	// NotRun is the header that marks a response of a backend server that did not run the
+	// request.
 	NotRun string
-	// Target names the backend server that a request is meant for; another one
-	// at the same address refuses it.
+	// Target is the header that names the backend server a request is meant for. A
+	// different server at the same address refuses the request.
 	Target string
-	// Customer names the customer to the backend server. What a caller sends under
-	// that name never arrives there.
+	// Customer is the header that names the customer to the backend server. A value sent
+	// by the caller is never passed on.
 	Customer string
-	// PlainBodies is whether an answer with a Content-Encoding cannot be the
-	// backend server's own, because no caller asks for one.
+	// PlainBodies reports whether a response with a Content-Encoding cannot come from the
+	// backend server itself, because no caller requests one.
 	PlainBodies bool
-	// Signature must be on every success of a backend server.
+	// Signature is the header that every successful response of a backend server must carry.
 	Signature string
-	// Leaving is the header by which a backend server says that it is leaving, IsLeaving
-	// the reading of its value.
-	Leaving   string
+	// Leaving is the header by which a backend server reports that it is leaving.
+	Leaving string
+	// IsLeaving parses the value of the Leaving header.
 	IsLeaving func(value string) bool
-	// Load is the header of a backend server's load, ParseLoad its reading.
-	Load      string
+	// Load is the header by which a backend server reports its load.
+	Load string
+	// ParseLoad parses the value of the Load header.
 	ParseLoad func(value string) (Load, bool)
-	// Limit is the header by which a backend server names the requests a second that it
-	// takes from all hosts together, a decimal number.
+	// Limit is the header by which a backend server announces how many requests per second
+	// it accepts from all hosts together, as a decimal number.
 	Limit string
-	// FormatRetryAfter writes the value of Retry-After.
+	// FormatRetryAfter formats the value of Retry-After.
 	FormatRetryAfter func(d time.Duration) string
-	// Instance is the header by which an answer to a health check names the server's process,
-	// empty if it does not.
+	// Instance is the header that identifies the server process in a health check response.
 	Instance string
-	// ReadyPath answers 200 while the balancer should send callers here.
+	// ReadyPath is the path that answers 200 while the load balancer should send callers to
+	// this host.
 	ReadyPath string
 }
 
-// Own is the product's own interface.
+// Own returns the protocol of Pearshelf's own interface.
 func Own() *Protocol {
 	return &Protocol{
 		RequestID:        HeaderRequestID,
@@ -87,30 +90,31 @@
 		Leaving:          HeaderLeaving,
 		IsLeaving:        func(value string) bool { return value == "true" },
 		Load:             HeaderLoad,
-		ParseLoad:        parseOwnLoad,
+		ParseLoad:        parseLoad,
 		Limit:            HeaderLimit,
 		FormatRetryAfter: WholeSeconds,
 		ReadyPath:        "/.well-known/pearshelf/ready",
 	}
 }
 
-// parseOwnLoad reads "<in use>/<slots>".
-func parseOwnLoad(value string) (Load, bool) {
-	first, _, found := strings.Cut(value, "/")
+// parseLoad parses "<in use>/<slots>". The number of slots is ignored.
+func parseLoad(value string) (Load, bool) {
+	running, _, found := strings.Cut(value, "/")
 	if !found {
 		return Load{}, false
 	}
-	inUse, err := strconv.Atoi(first)
+	inUse, err := strconv.Atoi(running)
 	return Load{Running: inUse}, err == nil && inUse >= 0
 }
 
-// WholeSeconds rounds up, as RFC 9110 knows whole seconds only.
+// WholeSeconds formats d in seconds, rounded up, because RFC 9110 allows only whole
+// seconds in Retry-After.
 func WholeSeconds(d time.Duration) string {
 	return strconv.Itoa(int((d + time.Second - 1) / time.Second))
 }
 
-// NotRunBy reports whether a backend server's answer says that the request was
-// not run, so that it may go elsewhere.
+// NotRunBy reports whether a backend server's response states that the request was not
+// run and may therefore be sent to another server.
 func (p *Protocol) NotRunBy(h http.Header) bool {
 	value := h.Get(p.NotRun)
 	return value != "" && value != "false" && value != "0"
--- a/internal/protocol/serverstate.go
+++ b/internal/protocol/serverstate.go
@@ -7,42 +7,46 @@
 	"time"
 )
 
-// headerRetryAfter is RFC 9110, 10.2.3; platforms may allow fractions of a second.
+// headerRetryAfter is defined in RFC 9110, section 10.2.3. Platforms may also allow
+// fractions of a second.
 const headerRetryAfter = "Retry-After"
 
-// maxRest bounds the time that a server may ask for. It is far longer than a server waits
-// for its load to fall, and keeps absurd values from overflowing.
-const maxRest = 24 * time.Hour
+// maxRetryAfter caps the time that a server may ask for. It is far longer than a server needs
+// for its load to fall, and prevents an overflow for very large values.
+const maxRetryAfter = 24 * time.Hour
 
-// ServerState is what a backend server says of itself in one answer.
+// ServerState is the state that a backend server reports in one response.
 type ServerState struct {
-	// Leaving: it takes no new work any more.
+	// Leaving is set if the server accepts no new requests.
 	Leaving bool
-	// Rest is for how long it wants no requests from this host, 0 for nothing said.
+	// Rest is how long the server wants no requests from this host, or 0 if not reported.
 	Rest time.Duration
-	// Limit is how many requests it takes from all hosts together.
+	// Limit is the rate of requests that the server accepts from all hosts together.
 	Limit RateLimit
-	// Load is how much it has to do, nil for nothing said.
+	// Load is the server's load, or nil if not reported.
 	Load *Load
 }
 
-// RateLimit is what a backend server says of how many requests it takes. The zero value is an
-// answer that names no limit.
+// RateLimit is the rate limit that a backend server announces. The zero value stands for a
+// response without a limit.
 type RateLimit struct {
-	// Named is set if the answer names a limit that can be read.
+	// Named is set if the response carries a valid limit.
 	Named bool
-	// PerSecond is the requests a second that the server takes from all hosts together.
+	// PerSecond is the number of requests per second that the server accepts from all hosts
+	// together.
 	PerSecond float64
-	// Unreadable is a value that cannot be read, empty for none: such an answer says neither
-	// that there is a limit nor that there is none.
+	// Unreadable is the quoted value that cannot be parsed, or empty. Such a response states
+	// neither that there is a limit nor that there is none.
 	Unreadable string
 }
 
-// maxLimit keeps absurd values out of sums; no server takes as many requests a second.
+// maxLimit caps announced limits, so that absurd values do not distort sums. No server accepts
+// that many requests per second.
 const maxLimit = 1e6
 
-// ReadServerState decodes what a backend server says of itself in an answer. Values that
-// cannot be read count as nothing said. now is for a Retry-After that names a date.
+// ReadServerState decodes the state that a backend server reports in a response. Values that
+// cannot be parsed count as not reported, except that an invalid rate limit is returned in
+// RateLimit.Unreadable. A Retry-After date is taken relative to now.
 func (p *Protocol) ReadServerState(now time.Time, status int, h http.Header) ServerState {
 	var state ServerState
 	if p.Leaving != "" {
@@ -54,7 +58,7 @@
 		}
 	}
 	if p.Limit != "" {
-		state.Limit = readLimit(h.Values(p.Limit))
+		state.Limit = parseLimit(h.Values(p.Limit))
 	}
 	if load, ok := p.ParseLoad(h.Get(p.Load)); ok {
 		state.Load = &load
@@ -62,13 +66,13 @@
 	return state
 }
 
-// readLimit returns the lowest limit that an answer names. One value that cannot be read
-// makes the whole unreadable.
-func readLimit(values []string) RateLimit {
+// parseLimit returns the lowest of the limits in a response. A single value that cannot be
+// parsed invalidates all of them.
+func parseLimit(values []string) RateLimit {
 	limit := RateLimit{}
 	for _, value := range values {
 		perSecond, err := strconv.ParseFloat(value, 64)
-		if err != nil || math.IsInf(perSecond, 0) || !(perSecond >= 0) { // also not a number
+		if err != nil || math.IsInf(perSecond, 0) || !(perSecond >= 0) { // also true for NaN
 			return RateLimit{Unreadable: strconv.Quote(value)}
 		}
 		perSecond = math.Min(perSecond, maxLimit)
@@ -79,8 +83,8 @@
 	return limit
 }
 
-// parseRetryAfter returns the time that a Retry-After value asks for, between 0 and
-// maxRest; 0 for one that cannot be read.
+// parseRetryAfter parses a Retry-After value, in seconds or as a date, and caps it to the
+// range from 0 to maxRetryAfter. It returns 0 for a value that cannot be parsed.
 func parseRetryAfter(now time.Time, value string) time.Duration {
 	seconds, err := strconv.ParseFloat(value, 64)
 	if err != nil && !math.IsInf(seconds, 1) {
@@ -90,8 +94,8 @@
 		}
 		seconds = date.Sub(now).Seconds()
 	}
-	if !(seconds > 0) { // also not a number
+	if !(seconds > 0) { // also true for NaN
 		return 0
 	}
-	return time.Duration(math.Min(seconds, maxRest.Seconds()) * float64(time.Second))
+	return time.Duration(math.Min(seconds, maxRetryAfter.Seconds()) * float64(time.Second))
 }
--- a/internal/protocol/serverstate_test.go
+++ b/internal/protocol/serverstate_test.go
@@ -10,8 +10,8 @@
 
 var now = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// A server's Retry-After counts with 503 only, and counts as nothing said where it cannot be
-// read. The longest of two holds.
+// Retry-After of a server is honoured with status 503 only, and ignored if it cannot be
+// parsed. Of several values, the longest applies.
 func TestRest(t *testing.T) {
 	for _, row := range []struct {
 		status int
@@ -34,7 +34,7 @@
 		{503, []string{"2", "x"}, 2 * time.Second},
 		{503, []string{"Fri, 02 Jan 2026 03:04:15 GMT"}, 10 * time.Second},
 		{503, []string{"Fri, 02 Jan 2026 03:04:00 GMT"}, 0},
-		{429, []string{"3"}, 0}, // of the caller, not of the server
+		{429, []string{"3"}, 0}, // concerns the caller, not the server
 		{200, []string{"3"}, 0},
 		{301, []string{"3"}, 0},
 	} {
@@ -45,19 +45,20 @@
 	}
 }
 
-// A closed connection is no sign of leaving: servers that stay close some too.
-func TestLeavingIsSaidByItsHeaderOnly(t *testing.T) {
+// Connection: close does not mean that a server is leaving, because servers that stay also
+// close connections.
+func TestLeavingIsReportedByItsHeaderOnly(t *testing.T) {
 	for value, want := range map[string]bool{"true": true, "false": false, "": false} {
 		h := http.Header{"Connection": {"close"}}
 		h.Set(protocol.HeaderLeaving, value)
 		if got := protocol.Own().ReadServerState(now, 200, h).Leaving; got != want {
-			t.Errorf("%q reads as leaving: %v", value, got)
+			t.Errorf("%q parsed as leaving: %v", value, got)
 		}
 	}
 }
 
-// The lowest of the limits that an answer names holds, whatever its status. One that cannot be
-// read makes the answer say nothing of a limit, neither that there is one nor that there is none.
+// The lowest of the limits in a response applies, whatever the status. A value that cannot be
+// parsed makes the response state neither that there is a limit nor that there is none.
 func TestRateLimit(t *testing.T) {
 	for _, row := range []struct {
 		values []string
@@ -83,7 +84,7 @@
 				t.Errorf("%d with %q: %+v, want %+v", status, row.values, got.Limit, row.want)
 			}
 			if rests := got.Rest > 0; rests != (status == 503) {
-				t.Errorf("%d: rests %v beside a limit", status, rests)
+				t.Errorf("%d: Rest set is %v in a response with a limit", status, rests)
 			}
 		}
 	}
