--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -35,7 +35,7 @@
 	startupWait = 500 * time.Millisecond
 )
 
-// Dispatcher sends requests to backend servers.
+// Dispatcher handles requests that the frontend has accepted.
 type Dispatcher interface {
 	Serve(w http.ResponseWriter, req *dispatch.Request) error
 	// Refused records a request that was refused before Serve.
@@ -303,8 +303,8 @@
 	return nil
 }
 
-// hostName returns the Host header without its port. IPv6 literals with a port are
-// returned unchanged.
+// hostName returns the Host header without its port. IPv6 literals are returned
+// unchanged, including any port.
 func hostName(r *http.Request) string {
 	host, _, found := strings.Cut(r.Host, ":")
 	if found && strings.HasPrefix(r.Host, "[") {
