--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,8 @@
-// Package config reads the configuration that the platform publishes: the
-// index of shards, the services of each shard, and the list of hosts.
-// Documents are YAML, or JSON, which hosts read some ten times as fast; an unknown key or a value out of range refuses the whole
-// document, so that a half-understood configuration is never in force.
+// Package config parses and validates the configuration that the platform
+// publishes: the shard index, the services of each shard, and the host list.
+// Documents are YAML or JSON; JSON parses about ten times as fast. An unknown
+// key or an out-of-range value rejects the whole document, so that a partially
+// understood configuration is never applied.
 package config
 
 import (
@@ -19,7 +20,7 @@
 	"github.com/pearshelf/pearshelf/internal/errs"
 )
 
-// Defaults and bounds of a service.
+// Service defaults and limits.
 const (
 	DefaultTimeout       = 5 * time.Second
 	DefaultQueuePerSlot  = 2
@@ -32,52 +33,53 @@
 	MaxAttempts          = 100
 	MaxBackendsPerShard  = 20_000
 	minDuration          = time.Millisecond
-	documentLimitBytes   = 1 << 20
-	discoveredLimitBytes = 8 << 20 // 20,000 registered servers of at most 400 bytes
-	remedyFixAndPublish  = "correct the document and publish it again; the last good one stays in force"
+	maxDocumentBytes     = 1 << 20
+	maxDiscoveredBytes   = 8 << 20 // 20,000 registered servers of at most 400 bytes each
+	remedyFixAndPublish  = "correct the document and publish it again; the last valid version remains active"
 	allowedDetectionText = "fast or careful"
 )
 
-// Detection says which error a service would rather make.
+// Detection selects a service's trade-off between detection time and false
+// ejections.
 type Detection string
 
 // Detection policies.
 const (
-	// DetectionFast ejects on less evidence: shorter detection time.
+	// DetectionFast requires less evidence to eject: shorter detection time.
 	DetectionFast Detection = "fast"
-	// DetectionCareful ejects on more evidence: fewer false ejections.
+	// DetectionCareful requires more evidence to eject: fewer false ejections.
 	DetectionCareful Detection = "careful"
 )
 
-// Duration is a time.Duration written as in "250ms".
+// Duration is a time.Duration that is encoded as text such as "250ms".
 type Duration time.Duration
 
-// UnmarshalYAML parses the text form.
+// UnmarshalYAML implements yaml.Unmarshaler.
 func (d *Duration) UnmarshalYAML(node *yaml.Node) error {
 	parsed, err := time.ParseDuration(node.Value)
 	if err != nil {
-		return fmt.Errorf("line %d: %q is not a duration such as 250ms or 5s", node.Line, node.Value)
+		return fmt.Errorf("line %d: invalid duration %q, want a value such as 250ms or 5s", node.Line, node.Value)
 	}
 	*d = Duration(parsed)
 	return nil
 }
 
-// UnmarshalJSON parses the text form.
+// UnmarshalJSON implements json.Unmarshaler.
 func (d *Duration) UnmarshalJSON(raw []byte) error {
 	parsed, err := time.ParseDuration(strings.Trim(string(raw), `"`))
 	if err != nil {
-		return fmt.Errorf("%s is not a duration such as \"250ms\" or \"5s\"", raw)
+		return fmt.Errorf("invalid duration %s, want a value such as \"250ms\" or \"5s\"", raw)
 	}
 	*d = Duration(parsed)
 	return nil
 }
 
-// MarshalJSON writes the text form.
+// MarshalJSON implements json.Marshaler.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return []byte(`"` + time.Duration(d).String() + `"`), nil
 }
 
-// MarshalYAML writes the text form.
+// MarshalYAML implements yaml.Marshaler.
 func (d Duration) MarshalYAML() (any, error) { return time.Duration(d).String(), nil }
 
 // Backend is one backend server of a service.
@@ -86,115 +88,118 @@
 	ID string `yaml:"id" json:"id,omitempty"`
 	// Address is IP:port.
 	Address string `yaml:"address" json:"address,omitempty"`
-	// DataCentre is where the server runs.
+	// DataCentre is the data centre that the server runs in.
 	DataCentre string `yaml:"data_centre" json:"data_centre,omitempty"`
-	// Slots is how many requests it serves at a time. Default: the service's.
+	// Slots is the maximum number of concurrent requests. Default: the
+	// service's Slots.
 	Slots int `yaml:"slots" json:"slots,omitempty"`
-	// Leaving marks a server that gets no new work.
+	// Leaving marks a server that is draining and receives no new requests.
 	Leaving bool `yaml:"leaving" json:"leaving,omitempty"`
-	// Warmup is how much longer the server is slow after its start, as of when
-	// it was published. Default: 0.
+	// Warmup is the remaining time, at publication, for which the server is
+	// slow after its start. Default: 0.
 	Warmup Duration `yaml:"warmup" json:"warmup,omitempty"`
-	// Started is when the server's process started, in Unix milliseconds. A change is a
-	// restart under the same ID: nothing that was known of the server holds. Default: 0,
-	// not told.
+	// Started is the start time of the server process, in Unix milliseconds. A
+	// change means a restart under the same ID, which invalidates all state kept
+	// about the server. Default: 0, unknown.
 	Started int64 `yaml:"started" json:"started,omitempty"`
 }
 
-// SameProcess reports whether two entries of a server are of one process, as far as they
-// tell.
+// SameProcess reports whether two entries of a server may describe the same
+// process. An unknown start time matches any.
 func (b *Backend) SameProcess(other *Backend) bool {
 	return b.Address == other.Address && (b.Started == other.Started || b.Started == 0 || other.Started == 0)
 }
 
-// Route maps requests to the service.
+// Route matches requests to a service.
 type Route struct {
-	// Host is the request's host name, empty for any.
+	// Host is the host name to match; empty matches any.
 	Host string `yaml:"host" json:"host,omitempty"`
-	// Path is a prefix of whole path segments.
+	// Path is a path prefix, matched by whole segments.
 	Path string `yaml:"path" json:"path,omitempty"`
-	// Methods limits the route, empty for all.
+	// Methods are the HTTP methods to match; empty matches all.
 	Methods []string `yaml:"methods" json:"methods,omitempty"`
-	// Idempotent declares that running a request twice does no harm. Default:
-	// false, also for GET.
+	// Idempotent declares that a request can safely be executed more than once.
+	// Default: false, also for GET.
 	Idempotent bool `yaml:"idempotent" json:"idempotent,omitempty"`
-	// Split spreads the requests over services by weight. Empty: all go to the
-	// service that declares the route. Needed on a document's own routes.
+	// Split distributes the requests over services by weight. If empty, all go
+	// to the service that declares the route. Required on document-level routes.
 	Split []Share `yaml:"split" json:"split,omitempty"`
-	// Timeout bounds the time in which the caller gets a final answer. Default:
-	// none beside the service's.
+	// Timeout limits the time until the caller receives the final response.
+	// Default: only the service's timeout applies.
 	Timeout Duration `yaml:"timeout" json:"timeout,omitempty"`
-	// Attempts is how many backend servers may run one request. Default: 3.
+	// Attempts is the maximum number of backend servers that may execute one
+	// request. Default: 3.
 	Attempts int `yaml:"attempts" json:"attempts,omitempty"`
-	// Priority is the rank in overload, 0 the highest.
+	// Priority is the priority under overload; 0 is the highest.
 	Priority int `yaml:"priority" json:"priority,omitempty"`
-	// Objective is the latency objective, the time in which an answer is worth
-	// most to the caller. Default: none.
+	// Objective is the latency objective: the time within which a response has
+	// its full value to the caller. Default: none.
 	Objective Duration `yaml:"objective" json:"objective,omitempty"`
-	// Public routes need no customer's key.
+	// Public routes require no customer key.
 	Public bool `yaml:"public" json:"public,omitempty"`
-	// HomeRegions are the only regions in which requests may be run. Default: none, and
-	// they may be run anywhere.
+	// HomeRegions are the only regions in which requests may be executed.
+	// Default: none, no restriction.
 	HomeRegions []string `yaml:"home_regions" json:"home_regions,omitempty"`
 }
 
-// Share is one service's part of a split route.
+// Share is the share of a split route that one service receives.
 type Share struct {
 	Service string `yaml:"service" json:"service,omitempty"`
-	// Weight is relative to the sum over the route. A weight of 0 gets nothing.
+	// Weight is relative to the sum of the route's weights. A service with
+	// weight 0 receives no requests.
 	Weight int `yaml:"weight" json:"weight,omitempty"`
 }
 
-// Probe is the request that checks a backend server.
+// Probe configures the health-check request to a backend server.
 type Probe struct {
-	// Path of a GET. Default: /healthz. A path that does real work finds gray
-	// faults which a health endpoint hides.
+	// Path is the path of the GET request. A path that does real work detects
+	// grey failures that a health endpoint hides. Default: /healthz.
 	Path string `yaml:"path" json:"path,omitempty"`
 }
 
-// Service is a set of backend servers behind a set of routes.
+// Service is a set of backend servers and the routes that lead to them.
 type Service struct {
-	// Name is unique over all shards.
+	// Name is unique across all shards.
 	Name string `yaml:"name" json:"name,omitempty"`
-	// Floor is the least capacity, in backend servers, kept in rotation.
+	// Floor is the minimum number of backend servers kept in rotation.
 	Floor int `yaml:"floor" json:"floor,omitempty"`
-	// Detection is fast or careful. Default: careful.
+	// Detection is the failure-detection policy. Default: careful.
 	Detection Detection `yaml:"detection" json:"detection,omitempty"`
-	// Slots per backend server. Default: 4.
+	// Slots is the default concurrency limit of a backend server. Default: 4.
 	Slots int `yaml:"slots" json:"slots,omitempty"`
-	// Timeout of a request without a deadline of its own. Default: 5s.
+	// Timeout applies to requests that carry no deadline. Default: 5s.
 	Timeout Duration `yaml:"timeout" json:"timeout,omitempty"`
-	// Queue is how many requests may wait on one host. Default: 2 a slot.
+	// Queue is the maximum number of queued requests per host. Default: 2 per
+	// slot.
 	Queue int `yaml:"queue" json:"queue,omitempty"`
-	// QueueWait is how long one request may wait. Default: 1s.
+	// QueueWait is the maximum queueing time of a request. Default: 1s.
 	QueueWait Duration `yaml:"queue_wait" json:"queue_wait,omitempty"`
-	// SessionAffinity keeps a session on one backend server while it can.
+	// SessionAffinity keeps a session on the same backend server while that
+	// server is available.
 	SessionAffinity bool `yaml:"session_affinity" json:"session_affinity,omitempty"`
-	// AllowMissingEcho accepts answers without the request ID.
+	// AllowMissingEcho accepts responses that do not echo the request ID.
 	AllowMissingEcho bool `yaml:"allow_missing_echo" json:"allow_missing_echo,omitempty"`
-	// Probe checks suspect and ejected backend servers.
+	// Probe configures health checks of suspect and ejected backend servers.
 	Probe Probe `yaml:"probe" json:"probe,omitempty"`
-	// ColdPerSecond is how many requests a second a server takes from all hosts together
-	// while it is warming up after its start; it may end if it gets many more. Default: 0, no
-	// limit.
-	ColdPerSecond float64 `yaml:"cold_per_second" json:"cold_per_second,omitempty"`
-	// Routes lead to the service.
-	Routes []Route `yaml:"routes" json:"routes,omitempty"`
-	// Backends serve it.
-	Backends []Backend `yaml:"backends" json:"backends,omitempty"`
+	// ColdPerSecond limits the request rate from all hosts together to a server
+	// that is warming up after its start; a much higher rate may make the
+	// process terminate. Default: 0, no limit.
+	ColdPerSecond float64   `yaml:"cold_per_second" json:"cold_per_second,omitempty"`
+	Routes        []Route   `yaml:"routes" json:"routes,omitempty"`
+	Backends      []Backend `yaml:"backends" json:"backends,omitempty"`
 }
 
-// Document is the value of one services/<shard> key.
+// Document is the value of a services/<shard> key.
 type Document struct {
 	Services []Service `yaml:"services" json:"services,omitempty"`
-	// Routes lead to the services named in their Split.
+	// Routes are document-level routes, each with the target services in Split.
 	Routes []Route `yaml:"routes" json:"routes,omitempty"`
-	// Customers are those who may ask for anything but public routes. Default: none,
-	// and nobody needs a key.
+	// Customers may use routes that are not public. Default: none, and no
+	// request requires a key.
 	Customers []Customer `yaml:"customers" json:"customers,omitempty"`
 }
 
-// ListedHost is one row of the platform's host list.
+// ListedHost is one entry of the platform's host list.
 type ListedHost struct {
 	Name       string `yaml:"name" json:"name,omitempty"`
 	Address    string `yaml:"address" json:"address,omitempty"` // IP:port of the peer listener
@@ -202,22 +207,22 @@
 	Leaving    bool   `yaml:"leaving" json:"leaving,omitempty"`
 }
 
-// HostList is the value of the hosts key. The list lags: a host that failed
-// may still be in it.
+// HostList is the value of the hosts key. The list may be stale: it may still
+// contain a failed host.
 type HostList struct {
 	Hosts []ListedHost `yaml:"hosts" json:"hosts,omitempty"`
 }
 
 // Index is the value of the services/index key.
 type Index struct {
-	// Shards maps a shard to its revision.
+	// Shards maps each shard name to its revision.
 	Shards map[string]uint64 `yaml:"shards" json:"shards,omitempty"`
 }
 
-// ParseDocument reads and checks a shard and fills in defaults.
+// ParseDocument parses and validates a shard document and applies defaults.
 func ParseDocument(raw []byte) (*Document, error) {
 	doc := &Document{}
-	if err := decode(raw, doc, documentLimitBytes); err != nil {
+	if err := decode(raw, doc, maxDocumentBytes); err != nil {
 		return nil, err
 	}
 	check := &checker{}
@@ -228,10 +233,10 @@
 	return doc, nil
 }
 
-// ParseHostList reads and checks the host list.
+// ParseHostList parses and validates the host list.
 func ParseHostList(raw []byte) (*HostList, error) {
 	list := &HostList{}
-	if err := decode(raw, list, documentLimitBytes); err != nil {
+	if err := decode(raw, list, maxDocumentBytes); err != nil {
 		return nil, err
 	}
 	check := &checker{}
@@ -245,10 +250,10 @@
 	return list, nil
 }
 
-// ParseIndex reads the index.
+// ParseIndex parses the shard index.
 func ParseIndex(raw []byte) (*Index, error) {
 	index := &Index{}
-	if err := decode(raw, index, documentLimitBytes); err != nil {
+	if err := decode(raw, index, maxDocumentBytes); err != nil {
 		return nil, err
 	}
 	return index, nil
@@ -256,19 +261,20 @@
 
 func decode(raw []byte, into any, limitBytes int) error {
 	if len(raw) > limitBytes {
-		return errs.New(errs.KindConfig, fmt.Sprintf("document has %d bytes, allowed are %d", len(raw), limitBytes), "split it into more shards")
+		return errs.New(errs.KindConfig, fmt.Sprintf("document has %d bytes, limit is %d", len(raw), limitBytes), "split it into more shards")
 	}
 	err := decodeStrict(raw, into)
 	if errors.Is(err, io.EOF) {
 		return errs.New(errs.KindConfig, "document is empty", remedyFixAndPublish)
 	}
 	if err != nil {
-		return errs.Wrap(err, errs.KindConfig, "document does not parse", remedyFixAndPublish)
+		return errs.Wrap(err, errs.KindConfig, "cannot parse document", remedyFixAndPublish)
 	}
 	return nil
 }
 
-// decodeStrict refuses unknown fields. JSON is told by its first two bytes.
+// decodeStrict rejects unknown fields. A document that starts with {" is
+// decoded as JSON, any other as YAML.
 func decodeStrict(raw []byte, into any) error {
 	if bytes.HasPrefix(raw, []byte(`{"`)) {
 		decoder := json.NewDecoder(bytes.NewReader(raw))
@@ -280,7 +286,8 @@
 	return decoder.Decode(into)
 }
 
-// checker collects every fault of a document, so that one look mends it.
+// checker collects all validation errors of a document, so that they can be
+// corrected in one pass.
 type checker struct {
 	faults []string
 }
@@ -310,11 +317,11 @@
 	c.sharedRoutes(doc.Routes, names)
 	c.customers(doc.Customers)
 	if backends > MaxBackendsPerShard {
-		c.addf("document has %d backend servers, allowed are %d", backends, MaxBackendsPerShard)
+		c.addf("document has %d backend servers, limit is %d", backends, MaxBackendsPerShard)
 	}
 }
 
-// sharedRoutes checks the routes of a document, which name their services.
+// sharedRoutes validates document-level routes, which name their target services.
 func (c *checker) sharedRoutes(routes []Route, services map[string]bool) {
 	for i, r := range routes {
 		at := fmt.Sprintf("routes[%d]", i)
@@ -330,7 +337,7 @@
 			total += share.Weight
 		}
 		if total <= 0 {
-			c.addf("%s.split: no service has a weight above 0", at)
+			c.addf("%s.split: at least one service must have a positive weight", at)
 		}
 	}
 }
@@ -342,19 +349,19 @@
 	if r.Timeout < 0 || time.Duration(r.Timeout) > MaxTimeout {
 		c.addf("%s.timeout: %s is outside 0 to %s", at, time.Duration(r.Timeout), MaxTimeout)
 	}
-	c.between(at+".attempts", r.Attempts, 0, MaxAttempts)
+	c.inRange(at+".attempts", r.Attempts, 0, MaxAttempts)
 }
 
-func (c *checker) word(at, name string) {
+func (c *checker) identifier(at, name string) {
 	if name == "" || strings.ContainsAny(name, "/ \t\n") {
-		c.addf("%s: %q must be a word without / or space", at, name)
+		c.addf("%s: %q must be non-empty and contain no slash or whitespace", at, name)
 	}
 }
 
 func (c *checker) name(at, name string, seen map[string]bool) {
-	c.word(at, name)
+	c.identifier(at, name)
 	if seen[name] {
-		c.addf("%s: %q stands twice", at, name)
+		c.addf("%s: duplicate value %q", at, name)
 	}
 	seen[name] = true
 }
@@ -373,20 +380,20 @@
 	}
 }
 
-func (c *checker) between(at string, value, low, high int) {
+func (c *checker) inRange(at string, value, low, high int) {
 	if value < low || value > high {
 		c.addf("%s: %d is outside %d to %d", at, value, low, high)
 	}
 }
 
 func (c *checker) service(at string, svc *Service) {
-	c.between(at+".floor", svc.Floor, 0, len(svc.Backends))
-	c.between(at+".slots", svc.Slots, 1, MaxSlots)
-	c.between(at+".queue", svc.Queue, 0, MaxSlots)
+	c.inRange(at+".floor", svc.Floor, 0, len(svc.Backends))
+	c.inRange(at+".slots", svc.Slots, 1, MaxSlots)
+	c.inRange(at+".queue", svc.Queue, 0, MaxSlots)
 	c.duration(at+".timeout", svc.Timeout)
 	c.duration(at+".queue_wait", svc.QueueWait)
 	if !(svc.ColdPerSecond >= 0) {
-		c.addf("%s.cold_per_second: %g is negative or no number", at, svc.ColdPerSecond)
+		c.addf("%s.cold_per_second: %g must be a non-negative number", at, svc.ColdPerSecond)
 	}
 	if svc.Detection != DetectionFast && svc.Detection != DetectionCareful {
 		c.addf("%s.detection: %q must be %s", at, svc.Detection, allowedDetectionText)
@@ -407,7 +414,7 @@
 		where := fmt.Sprintf("%s.backends[%d]", at, i)
 		c.backend(where, b, ids)
 		if addresses[b.Address] {
-			c.addf("%s.address: %q stands twice", where, b.Address)
+			c.addf("%s.address: duplicate value %q", where, b.Address)
 		}
 		addresses[b.Address] = true
 	}
@@ -416,7 +423,7 @@
 func (c *checker) backend(at string, b Backend, ids map[string]bool) {
 	c.name(at+".id", b.ID, ids)
 	c.address(at+".address", b.Address)
-	c.between(at+".slots", b.Slots, 1, MaxSlots)
+	c.inRange(at+".slots", b.Slots, 1, MaxSlots)
 }
 
 func (c *checker) duration(at string, d Duration) {
@@ -454,7 +461,7 @@
 	}
 }
 
-// TotalSlots is the capacity of all backend servers.
+// TotalSlots returns the sum of the slots of all backend servers.
 func (s *Service) TotalSlots() int {
 	total := 0
 	for _, b := range s.Backends {
--- a/internal/config/customers.go
+++ b/internal/config/customers.go
@@ -8,27 +8,30 @@
 	"github.com/pearshelf/pearshelf/internal/region"
 )
 
-// Customer is one customer of the fleet. Where any document has customers, every
-// request needs a key of one of them, unless its route is public.
+// Customer is one customer of the fleet. If any document defines customers,
+// every request requires a customer key unless its route is public.
 type Customer struct {
-	// Name is unique over all documents; backend servers are told it.
+	// Name is unique across all documents and is passed to backend servers.
 	Name string `yaml:"name" json:"name,omitempty"`
-	// KeyDigests are the digests of its keys, as pearshelf key-digest prints them. No
-	// two customers may hold the same key.
+	// KeyDigests are the digests of the customer's keys, as printed by
+	// pearshelf key-digest. Two customers cannot share a key.
 	KeyDigests []string `yaml:"key_digests" json:"key_digests,omitempty"`
-	// Priority goes before that of the route, 0 the highest. Default: the route's.
+	// Priority overrides the route's priority; 0 is the highest. Default: the
+	// route's.
 	Priority *int `yaml:"priority" json:"priority,omitempty"`
-	// PerSecond is the sustained rate over all hosts together, in requests a second.
-	// Default: 0, no limit.
+	// PerSecond is the sustained rate limit over all hosts together, in requests
+	// per second. Default: 0, no limit.
 	PerSecond float64 `yaml:"per_second" json:"per_second,omitempty"`
-	// Burst is how many requests may come at once beyond that. Default: 0.
+	// Burst is the number of requests allowed in a burst above that rate.
+	// Default: 0.
 	Burst float64 `yaml:"burst" json:"burst,omitempty"`
-	// HomeRegions are the only regions in which its requests may be run. Default: none, and
-	// they may be run anywhere.
+	// HomeRegions are the only regions in which the customer's requests may be
+	// executed. Default: none, no restriction.
 	HomeRegions []string `yaml:"home_regions" json:"home_regions,omitempty"`
 }
 
-// Entry returns the customer's row. The document must have passed its checks.
+// Entry converts c to an entry of the customer table. The document must have
+// been validated.
 func (c *Customer) Entry() customer.Entry {
 	entry := customer.Entry{Customer: customer.Customer{
 		Name:     c.Name,
@@ -46,7 +49,7 @@
 
 func (c *checker) customers(customers []Customer) {
 	names := make(map[string]bool)
-	holders := make(map[string]string) // customer's name by digest
+	holders := make(map[string]string) // customer name by key digest
 	for i := range customers {
 		one := &customers[i]
 		at := fmt.Sprintf("customers[%d]", i)
@@ -61,18 +64,19 @@
 
 func (c *checker) rate(at string, value float64) {
 	if value < 0 || math.IsInf(value, 0) || math.IsNaN(value) {
-		c.addf("%s: %g must be a number from 0 on", at, value)
+		c.addf("%s: %g must be a finite, non-negative number", at, value)
 	}
 }
 
-// keyDigest checks one digest. It names customers, never digests.
+// keyDigest validates one digest. Its errors name customers but never contain
+// the text, which may be a plain key.
 func (c *checker) keyDigest(at, text, name string, holders map[string]string) {
 	if _, err := customer.ParseDigest(text); err != nil {
-		c.addf("%s: is no digest of a key; pearshelf key-digest prints one", at)
+		c.addf("%s: invalid key digest; use pearshelf key-digest to create one", at)
 		return
 	}
 	if holder, held := holders[text]; held && holder != name {
-		c.addf("%s: customer %q holds the same key", at, holder)
+		c.addf("%s: key is already assigned to customer %q", at, holder)
 	}
 	holders[text] = name
 }
