--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads a host's settings file: YAML, strictly checked. What
-// the fleet serves comes from the platform's configuration instead (package
-// config).
+// Package settings parses and strictly validates a host's YAML settings file.
+// The services that the fleet serves are configured by the platform instead; see
+// package config.
 package settings
 
 import (
@@ -22,172 +22,187 @@
 	"github.com/pearshelf/pearshelf/internal/upstream"
 )
 
-// Defaults, with their units in the type.
+// Defaults and limits.
 const (
-	DefaultTick            = 100 * time.Millisecond
-	DefaultFreshness       = 1 * time.Second
-	DefaultProbeInterval   = 1 * time.Second
-	DefaultProbeTimeout    = 400 * time.Millisecond
-	DefaultGossipInterval  = 100 * time.Millisecond
-	DefaultClaimHorizon    = 30 * time.Second
-	DefaultClaimTimeout    = 300 * time.Millisecond
-	DefaultStopGrace       = 5 * time.Second
-	DefaultStopTimeout     = 30 * time.Minute
-	DefaultMaxHeaderBytes  = 64 << 10
-	DefaultReadHeaderLimit = 5 * time.Second
-	DefaultIdleLimit       = 120 * time.Second
-	DefaultBodyIdleLimit   = 30 * time.Second
-	DefaultEventRing       = 8192
-	MaxBufferBytes         = 16 << 20
-	maxCores               = 4096
-	maxMemoryMB            = 16 << 20
-	DefaultDirectAfter     = 2 * time.Second
-	DefaultDirectSpread    = 3 * time.Second
+	DefaultTick              = 100 * time.Millisecond
+	DefaultFreshness         = 1 * time.Second
+	DefaultProbeInterval     = 1 * time.Second
+	DefaultProbeTimeout      = 400 * time.Millisecond
+	DefaultGossipInterval    = 100 * time.Millisecond
+	DefaultClaimHorizon      = 30 * time.Second
+	DefaultClaimTimeout      = 300 * time.Millisecond
+	DefaultStopGrace         = 5 * time.Second
+	DefaultStopTimeout       = 30 * time.Minute
+	DefaultMaxHeaderBytes    = 64 << 10
+	DefaultReadHeaderTimeout = 5 * time.Second
+	DefaultIdleTimeout       = 120 * time.Second
+	DefaultBodyIdleTimeout   = 30 * time.Second
+	DefaultEventRing         = 8192
+	MaxBufferBytes           = 16 << 20
+	maxCores                 = 4096
+	maxMemoryMB              = 16 << 20
+	DefaultDirectAfter       = 2 * time.Second
+	DefaultDirectSpread      = 3 * time.Second
 )
 
-// TLS names the files of a listener's keys.
+// TLS holds the paths of a listener's certificate and key files.
 type TLS struct {
-	// CertFile and KeyFile are PEM files of this host.
+	// CertFile and KeyFile are this host's certificate and private key in PEM
+	// format.
 	CertFile string `yaml:"cert_file"`
 	KeyFile  string `yaml:"key_file"`
-	// CAFile verifies the other side; needed for mutual TLS.
+	// CAFile holds the CA certificates that verify the remote end; required for
+	// mutual TLS.
 	CAFile string `yaml:"ca_file"`
 }
 
-// Enabled reports whether keys are configured.
+// Enabled reports whether TLS is configured.
 func (t TLS) Enabled() bool { return t.CertFile != "" }
 
-// Caller is the listener for callers.
+// Caller configures the listener for callers.
 type Caller struct {
-	// Listen is IP:port.
+	// Listen is the IP:port to listen on.
 	Listen string `yaml:"listen"`
-	// ReadyListen is IP:port of a listener of its own for the balancer's
-	// question whether this host is ready. Default: it is asked at Listen.
+	// ReadyListen is the IP:port of a separate listener for the load balancer's
+	// readiness checks. Default: readiness is served on Listen.
 	ReadyListen string `yaml:"ready_listen"`
-	// TLS is optional.
+	// TLS is optional on this listener.
 	TLS TLS `yaml:"tls"`
-	// MaxHeaderBytes bounds a request's header. Default: 65536.
+	// MaxHeaderBytes limits the size of request headers. Default: 65536.
 	MaxHeaderBytes int `yaml:"max_header_bytes"`
-	// ReadHeaderTimeout bounds the time for a header. Default: 5s.
+	// ReadHeaderTimeout limits the time to read request headers. Default: 5s.
 	ReadHeaderTimeout config.Duration `yaml:"read_header_timeout"`
-	// IdleTimeout closes unused connections. Default: 120s.
+	// IdleTimeout is the time after which idle connections are closed. Default:
+	// 120s.
 	IdleTimeout config.Duration `yaml:"idle_timeout"`
-	// BodyIdleTimeout ends a request whose body brings nothing. Default: 30s.
+	// BodyIdleTimeout is the time without body data after which a request is
+	// aborted. Default: 30s.
 	BodyIdleTimeout config.Duration `yaml:"body_idle_timeout"`
 }
 
-// Peer is the listener for other hosts, UDP and TCP on the same port.
+// Peer configures the listener for other hosts: UDP and TCP on the same port.
 type Peer struct {
-	// Listen is IP:port.
+	// Listen is the IP:port to listen on.
 	Listen string `yaml:"listen"`
-	// Advertise is the address told to others. Default: Listen.
+	// Advertise is the address announced to other hosts. Default: Listen.
 	Advertise string `yaml:"advertise"`
-	// Seeds are addresses of some other hosts, used until the platform's list
-	// is known.
+	// Seeds are addresses of other hosts, used until the platform's host list is
+	// available.
 	Seeds []string `yaml:"seeds"`
-	// TLS secures synchronous calls, mutually.
+	// TLS configures mutual TLS for synchronous calls.
 	TLS TLS `yaml:"tls"`
-	// DatagramKeyFile holds 32 random bytes in hex that encrypt datagrams.
+	// DatagramKeyFile is the path of a file with the hex-encoded 32-byte key
+	// that encrypts datagrams.
 	DatagramKeyFile string `yaml:"datagram_key_file"`
-	// Insecure allows plaintext between hosts.
+	// Insecure permits plaintext traffic between hosts.
 	Insecure bool `yaml:"insecure"`
 }
 
-// Operator is the listener for operators and metrics.
+// Operator configures the listener for operators and metrics.
 type Operator struct {
 	Listen   string `yaml:"listen"`
 	TLS      TLS    `yaml:"tls"`
 	Insecure bool   `yaml:"insecure"`
 }
 
-// Platform is where the configuration is published.
+// Platform configures the source of the published configuration.
 type Platform struct {
 	// Address is the base URL, such as http://10.0.0.1:8600.
 	Address string `yaml:"address"`
-	// Kind is documents for the product's own configuration service, store for
-	// the users' key-value store. Default: documents.
+	// Kind is PlatformDocuments or PlatformStore. Default: documents.
 	Kind string `yaml:"kind"`
-	// DirectAfter is when a new host that has no configuration from peers asks
-	// the platform itself; spread over DirectSpread. Sooner is ready sooner and
-	// costs reads when the whole fleet restarts. Defaults: 2s and 3s.
+	// DirectAfter is the time after which a new host that has received no
+	// configuration from peers queries the platform itself, with jitter of up to
+	// DirectSpread. Lower values make a host ready sooner but cause more reads
+	// when the whole fleet restarts. Defaults: 2s and 3s.
 	DirectAfter  config.Duration `yaml:"direct_after"`
 	DirectSpread config.Duration `yaml:"direct_spread"`
 }
 
-// Kinds of platform.
+// Platform kinds.
 const (
+	// PlatformDocuments is the product's own configuration service.
 	PlatformDocuments = "documents"
-	PlatformStore     = "store"
+	// PlatformStore is the users' key-value store.
+	PlatformStore = "store"
 )
 
-// Timing holds the control loop's intervals.
+// Timing holds the intervals and timeouts of the control loop.
 type Timing struct {
-	// Tick is the interval of the systems. Default: 100ms.
+	// Tick is the interval of the control loop. Default: 100ms.
 	Tick config.Duration `yaml:"tick"`
-	// Freshness is the pause after which a host refuses non-idempotent
-	// requests until it has heard from the fleet again. Default: 1s.
+	// Freshness is the length of a pause after which a host rejects
+	// non-idempotent requests until it has received current state from the
+	// fleet. Default: 1s.
 	Freshness config.Duration `yaml:"freshness"`
-	// ProbeInterval is the membership probe period. Shorter finds dead hosts
-	// sooner and costs more datagrams. Default: 1s.
+	// ProbeInterval is the interval of membership probes. Lower values detect
+	// failed hosts sooner but send more datagrams. Default: 1s.
 	ProbeInterval config.Duration `yaml:"probe_interval"`
-	// ProbeTimeout is how long a direct probe waits before others are asked.
-	// Default: 400ms.
+	// ProbeTimeout is the time to wait for the reply to a direct probe before
+	// indirect probes are requested from other hosts. Default: 400ms.
 	ProbeTimeout config.Duration `yaml:"probe_timeout"`
-	// GossipInterval is the period of change datagrams. Default: 100ms.
+	// GossipInterval is the interval of gossip datagrams. Default: 100ms.
 	GossipInterval config.Duration `yaml:"gossip_interval"`
-	// ClaimHorizon is how long a finished idempotency key is remembered. A
-	// host younger than this abstains from claims. Default: 30s.
+	// ClaimHorizon is the retention time of a completed idempotency key. A host
+	// that has been running for less than this abstains from claims. Default:
+	// 30s.
 	ClaimHorizon config.Duration `yaml:"claim_horizon"`
-	// ClaimTimeout bounds one claim. Default: 300ms.
+	// ClaimTimeout limits the duration of one claim. Default: 300ms.
 	ClaimTimeout config.Duration `yaml:"claim_timeout"`
-	// StopGrace is how long a stopping host goes on taking requests while the
-	// balancer learns of the stop. Default: 5s.
+	// StopGrace is the time for which a stopping host still accepts requests
+	// while the load balancer detects the stop. Default: 5s.
 	StopGrace config.Duration `yaml:"stop_grace"`
-	// StopTimeout bounds a planned stop. Default: 30m.
+	// StopTimeout limits the duration of a planned stop. Default: 30m.
 	StopTimeout config.Duration `yaml:"stop_timeout"`
 }
 
-// Retry bounds the requests that are sent to a second backend server.
+// Retry configures the retry budget: the requests that may be sent to another
+// backend server.
 type Retry struct {
-	// FleetShare is the part of a service's requests that all hosts together may
-	// send again in a window, FleetReserve how many more. The hosts of a data
-	// centre share its part. For direct picking only. Defaults: 0.1, 10, 10s.
+	// FleetShare is the fraction of a service's requests that all hosts together
+	// may retry in a window; FleetReserve is the number of retries allowed on top
+	// of it. The hosts of a data centre share that data centre's portion. Applies
+	// only when forwarding is off. Defaults: 0.1, 10 and 10s.
 	FleetShare   float64         `yaml:"fleet_share"`
 	FleetReserve float64         `yaml:"fleet_reserve"`
 	Window       config.Duration `yaml:"window"`
 }
 
-// Policy is how hosts that pick directly decide.
+// Policy configures backend selection when forwarding is off.
 type Policy struct {
-	// Without names mechanisms that are left out, to measure what they are worth; see
+	// Without lists mechanisms to disable, to measure their effect; see
 	// policy.Mechanisms. Default: none.
 	Without []policy.Mechanism `yaml:"without"`
 }
 
-// Backend is how this host deals with backend servers.
+// Backend configures connections to backend servers.
 type Backend struct {
-	// DialTimeout bounds the start of a connection. Default: 1s.
+	// DialTimeout limits the time to establish a connection. Default: 1s.
 	DialTimeout config.Duration `yaml:"dial_timeout"`
-	// BufferBytes is the longest answer that is read whole before its caller
-	// gets any of it, so that one that breaks off can be had elsewhere. More
-	// costs memory and time to the first byte. Default: 0, none.
+	// BufferBytes is the maximum size of a response that is buffered completely
+	// before it is sent to the caller, so that a truncated response can be
+	// retried on another server. Higher values increase memory use and time to
+	// first byte. Default: 0, no buffering.
 	BufferBytes int `yaml:"buffer_bytes"`
 }
 
-// Settings is the whole file.
+// Settings is the content of a settings file.
 type Settings struct {
-	// Host is this host's unique name.
+	// Host is the unique name of this host.
 	Host string `yaml:"host"`
-	// DataCentre is where the host stands.
+	// DataCentre is the data centre that the host runs in.
 	DataCentre string `yaml:"data_centre"`
-	// Regions gives the region of each data centre, for requests that may be run in some
-	// regions only. Default: none; such requests are refused then.
+	// Regions maps each data centre to its region, for requests that are
+	// restricted to certain regions. Default: none, and such requests are
+	// rejected.
 	Regions region.Map `yaml:"regions"`
-	// Cores is the part of the machine's processor that this host may use, in cores. The
-	// hosts that may use most read the platform for the others. Default: 0, not known.
+	// Cores is the number of CPU cores, possibly fractional, that this host may
+	// use. The hosts with the most cores read the platform on behalf of the
+	// others. Default: 0, unknown.
 	Cores float64 `yaml:"cores"`
-	// MemoryMB is the memory that this host may use, in MiB. A quarter of it may hold bodies
-	// of callers and backend servers that are slow. Default: 0, as for 512.
+	// MemoryMB is the memory that this host may use, in MiB. Up to a quarter of
+	// it buffers bodies for slow callers and backend servers. Default: 0, which
+	// is treated as 512.
 	MemoryMB float64  `yaml:"memory_mb"`
 	Caller   Caller   `yaml:"caller"`
 	Peer     Peer     `yaml:"peer"`
@@ -197,28 +212,29 @@
 	Retry    Retry    `yaml:"retry"`
 	Policy   Policy   `yaml:"policy"`
 	Backend  Backend  `yaml:"backend"`
-	// Forwarding sends requests to the owner hosts of their service. Default:
-	// true. If false, every host picks by itself and the hosts tell each other
-	// what they see.
+	// Forwarding sends requests to the owner hosts of their service. If false,
+	// each host selects backend servers itself and the hosts exchange their
+	// observations. Default: true.
 	Forwarding *bool `yaml:"forwarding"`
 }
 
-// Load reads, checks and completes a file.
+// Load reads a settings file, applies defaults and validates it.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.KindSettings, "settings file cannot be read", "name a readable file with --settings")
+		return nil, errs.Wrap(err, errs.KindSettings, "cannot read settings file", "specify a readable file with --settings")
 	}
 	return Parse(path, raw)
 }
 
-// Parse checks and completes the content of a file; name is for messages.
+// Parse parses the content of a settings file, applies defaults and validates
+// it. The name is used in error messages.
 func Parse(name string, raw []byte) (*Settings, error) {
 	s := &Settings{}
 	decoder := yaml.NewDecoder(bytes.NewReader(raw))
 	decoder.KnownFields(true)
 	if err := decoder.Decode(s); err != nil {
-		return nil, errs.Wrap(err, errs.KindSettings, name+" does not parse", "correct the named line; docs/SETTINGS.md lists every field")
+		return nil, errs.Wrap(err, errs.KindSettings, name+": cannot parse settings", "correct the reported line; docs/SETTINGS.md lists every field")
 	}
 	s.SetDefaults()
 	check := newChecker(name, raw)
@@ -226,7 +242,7 @@
 	return s, check.err()
 }
 
-// SetDefaults fills in what the file left out.
+// SetDefaults sets omitted fields to their defaults.
 func (s *Settings) SetDefaults() {
 	setString(&s.Peer.Advertise, s.Peer.Listen)
 	setString(&s.Platform.Kind, PlatformDocuments)
@@ -239,9 +255,9 @@
 		forwarding := true
 		s.Forwarding = &forwarding
 	}
-	setDuration(&s.Caller.ReadHeaderTimeout, DefaultReadHeaderLimit)
-	setDuration(&s.Caller.IdleTimeout, DefaultIdleLimit)
-	setDuration(&s.Caller.BodyIdleTimeout, DefaultBodyIdleLimit)
+	setDuration(&s.Caller.ReadHeaderTimeout, DefaultReadHeaderTimeout)
+	setDuration(&s.Caller.IdleTimeout, DefaultIdleTimeout)
+	setDuration(&s.Caller.BodyIdleTimeout, DefaultBodyIdleTimeout)
 	rule := policy.DefaultRetryRule()
 	if s.Retry.FleetShare == 0 && s.Retry.FleetReserve == 0 {
 		s.Retry.FleetShare, s.Retry.FleetReserve = rule.Share, rule.Reserve
@@ -271,7 +287,7 @@
 	}
 }
 
-// checker collects faults with the line of their field.
+// checker collects validation errors with the line of the affected field.
 type checker struct {
 	name   string
 	lines  map[string]int
@@ -287,7 +303,7 @@
 	return c
 }
 
-// index notes the line of every field by its dotted path.
+// index records the line of every field by its dotted path.
 func (c *checker) index(prefix string, node *yaml.Node) {
 	if node.Kind != yaml.MappingNode {
 		return
@@ -311,12 +327,12 @@
 	if len(c.faults) == 0 {
 		return nil
 	}
-	return errs.New(errs.KindSettings, strings.Join(c.faults, "\n"), "correct the named fields; docs/SETTINGS.md gives each range")
+	return errs.New(errs.KindSettings, strings.Join(c.faults, "\n"), "correct the reported fields; docs/SETTINGS.md lists the valid ranges")
 }
 
 func (c *checker) settings(s *Settings) {
-	c.word("host", s.Host)
-	c.word("data_centre", s.DataCentre)
+	c.identifier("host", s.Host)
+	c.identifier("data_centre", s.DataCentre)
 	if !(s.MemoryMB >= 0 && s.MemoryMB <= maxMemoryMB) {
 		c.addf("memory_mb", "%g is outside 0 to %d", s.MemoryMB, maxMemoryMB)
 	}
@@ -324,14 +340,14 @@
 		c.addf("cores", "%g is outside 0 to %d", s.Cores, maxCores)
 	}
 	for _, dataCentre := range slices.Sorted(maps.Keys(s.Regions)) {
-		c.word("regions."+dataCentre, s.Regions[dataCentre])
+		c.identifier("regions."+dataCentre, s.Regions[dataCentre])
 	}
 	c.addresses(s)
 	c.forwarding(s)
-	c.secured("peer", s.Peer.TLS, s.Peer.Insecure)
-	c.secured("operator", s.Operator.TLS, s.Operator.Insecure)
+	c.requireTLS("peer", s.Peer.TLS, s.Peer.Insecure)
+	c.requireTLS("operator", s.Operator.TLS, s.Operator.Insecure)
 	if s.Peer.TLS.Enabled() && s.Peer.DatagramKeyFile == "" {
-		c.addf("peer.datagram_key_file", "must be set beside peer.tls: name a file with 64 hex digits")
+		c.addf("peer.datagram_key_file", "required when peer.tls is set: specify a file with 64 hex digits")
 	}
 	if !strings.HasPrefix(s.Platform.Address, "http://") && !strings.HasPrefix(s.Platform.Address, "https://") {
 		c.addf("platform.address", "%q must be an http or https URL", s.Platform.Address)
@@ -344,7 +360,7 @@
 	}
 	for _, m := range s.Policy.Without {
 		if !slices.Contains(policy.Mechanisms(), m) {
-			c.addf("policy.without", "%q is no mechanism; use some of %v", m, policy.Mechanisms())
+			c.addf("policy.without", "unknown mechanism %q, valid mechanisms are %v", m, policy.Mechanisms())
 		}
 	}
 	if s.Retry.FleetShare < 0 || s.Retry.FleetShare > 1 {
@@ -359,9 +375,9 @@
 	c.timing(s)
 }
 
-func (c *checker) word(field, value string) {
+func (c *checker) identifier(field, value string) {
 	if value == "" || strings.ContainsAny(value, "/ \t\n") {
-		c.addf(field, "%q must be a word without / or space", value)
+		c.addf(field, "%q must be non-empty and contain no slash or whitespace", value)
 	}
 }
 
@@ -379,7 +395,7 @@
 			continue
 		}
 		if other, ok := seen[l.address]; ok {
-			c.addf(l.field, "%q is already the address of %s: give each listener its own", l.address, other)
+			c.addf(l.field, "%q is already the address of %s: each listener requires its own address", l.address, other)
 		}
 		seen[l.address] = l.field
 	}
@@ -392,11 +408,11 @@
 	}
 }
 
-// forwarding refuses owner hosts where their protocol does not carry what the
-// platform's requests need: attempts and header names.
+// forwarding rejects owner hosts on a platform whose requests need attempt
+// numbers and header names that the owner protocol does not carry.
 func (c *checker) forwarding(s *Settings) {
 	if s.Platform.Kind == PlatformStore && *s.Forwarding {
-		c.addf("forwarding", "must be false with platform.kind: %s: owner hosts do not speak that platform's protocol", PlatformStore)
+		c.addf("forwarding", "must be false with platform.kind: %s: owner hosts do not support that platform's protocol", PlatformStore)
 	}
 }
 
@@ -406,12 +422,12 @@
 	}
 }
 
-func (c *checker) secured(field string, keys TLS, insecure bool) {
+func (c *checker) requireTLS(field string, keys TLS, insecure bool) {
 	switch {
 	case !keys.Enabled() && !insecure:
-		c.addf(field+".tls", "must name cert_file, key_file and ca_file, or set %s.insecure: true to allow plaintext", field)
+		c.addf(field+".tls", "cert_file, key_file and ca_file are required unless %s.insecure: true permits plaintext", field)
 	case keys.Enabled() && (keys.KeyFile == "" || keys.CAFile == ""):
-		c.addf(field+".tls", "must name key_file and ca_file beside cert_file")
+		c.addf(field+".tls", "key_file and ca_file are required with cert_file")
 	}
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// A refusal names file, line, field and remedy.
+// Validation errors report the file, the line, the field and a remedy.
 func TestStrictSettings(t *testing.T) {
 	cases := map[string]struct{ text, want string }{
 		"unknown key":       {good + "hots: x\n", "line 7"},
@@ -43,7 +43,7 @@
 		"no security":       {strings.Replace(good, "\"127.0.0.1:2\", insecure: true", "\"127.0.0.1:2\"", 1), "peer.insecure: true"},
 		"claim too long":    {good + "timing: {claim_horizon: 1s, claim_timeout: 600ms}\n", "at most half of timing.claim_horizon"},
 		"owners on a store": {strings.Replace(good, "platform: {", "platform: {kind: store, ", 1), "forwarding: must be false with platform.kind: store"},
-		"no mechanism":      {good + "policy: {without: [copies, magic]}\n", "policy.without: \"magic\" is no mechanism"},
+		"no mechanism":      {good + "policy: {without: [copies, magic]}\n", "policy.without: unknown mechanism \"magic\""},
 		"no host":           {strings.Replace(good, "host: h1", "host: ''", 1), "f.yaml:1: host"},
 	}
 	if _, err := settings.Parse("f.yaml", []byte(good)); err != nil {
