--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,6 @@
-// Package logging writes the log to standard output without ever blocking the
-// work that it tells of: lines wait in a bounded queue, and what does not fit is
-// dropped and counted.
+// Package logging writes log lines to standard output without blocking the
+// goroutines that log: lines are placed in a bounded queue, and lines that do
+// not fit are dropped and counted.
 package logging
 
 import (
@@ -12,14 +12,15 @@
 	"k8s.io/klog/v2"
 )
 
-// queueLines bounds the lines that wait for a slow reader of standard output,
-// at some 300 bytes each.
+// queueLines is the maximum number of lines queued for a slow reader of standard
+// output, at about 300 bytes each.
 const queueLines = 4096
 
-// passLines bounds the lines that are written in one call, at some 300 bytes each.
-const passLines = 64
+// batchLines is the maximum number of lines written in one call, at about 300
+// bytes each.
+const batchLines = 64
 
-// Writer passes lines on in the background. Write never blocks.
+// Writer writes lines to its output in the background. Write never blocks.
 type Writer struct {
 	queue   chan []byte
 	closing chan struct{}
@@ -27,7 +28,7 @@
 	dropped atomic.Int64
 }
 
-// NewWriter starts a writer to out.
+// NewWriter starts a Writer that writes to out.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{queue: make(chan []byte, queueLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go w.run(out)
@@ -39,29 +40,30 @@
 	for {
 		select {
 		case line := <-w.queue:
-			w.pass(out, line)
+			w.writeBatch(out, line)
 		case <-w.closing:
 			for len(w.queue) > 0 {
-				w.pass(out, <-w.queue)
+				w.writeBatch(out, <-w.queue)
 			}
 			return
 		}
 	}
 }
 
-// pass writes a line and those that are queued behind it in one call: each call costs a
-// wake-up of the reader.
-func (w *Writer) pass(out io.Writer, lines []byte) {
+// writeBatch writes a line and the lines queued behind it in one call, because
+// each call wakes up the reader.
+func (w *Writer) writeBatch(out io.Writer, lines []byte) {
 	count := 1
-	for ; count < passLines && len(w.queue) > 0; count++ {
+	for ; count < batchLines && len(w.queue) > 0; count++ {
 		lines = append(lines, <-w.queue...)
 	}
 	if _, err := out.Write(lines); err != nil {
-		w.dropped.Add(int64(count)) // there is nowhere else to tell it
+		w.dropped.Add(int64(count)) // the error cannot be reported anywhere else
 	}
 }
 
-// Write queues a copy of a line, or drops it if the queue is full.
+// Write queues a copy of line, or drops it if the queue is full. It never
+// returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.queue <- append([]byte(nil), line...):
@@ -71,17 +73,17 @@
 	return len(line), nil
 }
 
-// Dropped is how many lines were dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what is queued and ends the writer. Lines that other goroutines
-// still write are not passed on. Close is called once.
+// Close writes the queued lines and stops the writer. Lines that other
+// goroutines write after that are discarded. Close must be called only once.
 func (w *Writer) Close() {
 	close(w.closing)
 	<-w.done
 }
 
-// Use sends klog's lines to the writer, up to a verbosity.
+// Use directs klog's output to w, up to the given verbosity.
 func Use(w *Writer, verbosity int) error {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// A reader of standard output that stands still holds up nobody: every Write
-// returns, and what does not fit is counted.
+// A stalled reader of standard output must not block callers of Write: every
+// Write returns, and lines that do not fit in the queue are counted.
 func TestStalledReaderBlocksNobody(t *testing.T) {
 	stalled, reader := newStalled()
 	w := logging.NewWriter(stalled)
@@ -44,13 +44,14 @@
 	w.Close()
 }
 
-// newStalled returns a writer whose reader reads nothing until it is closed.
+// newStalled returns a writer that blocks until its reader is closed.
 func newStalled() (io.Writer, io.Closer) {
 	r, w := io.Pipe()
 	return w, r
 }
 
-// A goroutine that still logs while the program ends does no harm.
+// A goroutine may still log while the program exits: Write after Close must not
+// fail.
 func TestWriteAfterClose(t *testing.T) {
 	var out bytes.Buffer
 	w := logging.NewWriter(&out)
--- a/internal/logging/messages.go
+++ b/internal/logging/messages.go
@@ -1,8 +1,9 @@
 package logging
 
-// Messages of lines that package explain reads.
+// Messages of log lines that package explain parses.
 const (
-	// OutOfUse and InUse are of a backend server that gets no requests, and again some.
+	// OutOfUse and InUse are logged when a backend server stops receiving
+	// requests and when it receives requests again.
 	OutOfUse = "server out of use"
 	InUse    = "server in use again"
 )
