--- a/internal/metrics/balance.go
+++ b/internal/metrics/balance.go
@@ -7,13 +7,14 @@
 	"github.com/pearshelf/pearshelf/internal/policy"
 )
 
-// balanceSource is what the collector reads, once a scrape.
+// balanceSource provides the statistics that the collector reads on each scrape.
 type balanceSource interface {
 	Stats() []policy.ServiceStats
 }
 
-// balanceCollector publishes what a host that picks directly knows of services.
-// Its label set is the services': 500 at the target size, of 4 figures each.
+// balanceCollector exports the per-service state of a host that selects backend
+// servers itself. Cardinality: 4 series per service, for 500 services at the
+// target size.
 type balanceCollector struct {
 	source   balanceSource
 	servers  *prometheus.Desc
@@ -22,7 +23,7 @@
 	retries  *prometheus.Desc
 }
 
-// WatchBalance publishes a balancer's figures.
+// WatchBalance exports the statistics of a balancer.
 func (m *Metrics) WatchBalance(source balanceSource) {
 	label := []string{"service"}
 	m.registerer.MustRegister(&balanceCollector{
@@ -44,14 +45,14 @@
 // Collect implements prometheus.Collector.
 func (c *balanceCollector) Collect(out chan<- prometheus.Metric) {
 	for _, s := range c.source.Stats() {
-		figures := map[*prometheus.Desc]int{c.servers: s.Servers, c.failing: s.Failing, c.inFlight: s.InFlight, c.retries: s.Retries}
-		for desc, n := range figures {
+		values := map[*prometheus.Desc]int{c.servers: s.Servers, c.failing: s.Failing, c.inFlight: s.InFlight, c.retries: s.Retries}
+		for desc, n := range values {
 			out <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, float64(n), s.Service)
 		}
 	}
 }
 
-// Interface guards.
+// Interface assertions.
 var (
 	_ prometheus.Collector = (*balanceCollector)(nil)
 	_ balanceSource        = (*balance.Table)(nil)
--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -6,19 +6,20 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// controlSource is what the collector reads, once a scrape.
+// controlSource provides the counts that the collector reads on each scrape.
 type controlSource interface {
-	// SentByKind returns the bytes of datagrams sent so far by kind.
+	// SentByKind returns the number of datagram bytes sent so far, by kind.
 	SentByKind() map[string]uint64
 }
 
-// controlCollector publishes which messages between hosts cost bytes.
+// controlCollector exports the traffic between hosts by kind of message.
 type controlCollector struct {
 	source controlSource
 	sent   *prometheus.Desc
 }
 
-// WatchControl publishes the bytes that the host sends to others by kind of message.
+// WatchControl exports the number of bytes sent to other hosts, by kind of
+// message.
 func (m *Metrics) WatchControl(source controlSource) {
 	m.registerer.MustRegister(&controlCollector{
 		source: source,
@@ -26,7 +27,8 @@
 	})
 }
 
-// DocumentSent counts the bytes of a document, or a change to it, given to another host.
+// DocumentSent counts the bytes of a document, or of a delta to it, that was sent
+// to another host.
 func (m *Metrics) DocumentSent(key string, bytes int) {
 	if bytes > 0 {
 		m.documentBytes.WithLabelValues(key).Add(float64(bytes))
@@ -44,5 +46,5 @@
 	}
 }
 
-// Interface guard.
+// Interface assertion.
 var _ prometheus.Collector = (*controlCollector)(nil)
--- a/internal/metrics/limits.go
+++ b/internal/metrics/limits.go
@@ -8,37 +8,37 @@
 	"github.com/pearshelf/pearshelf/internal/quota"
 )
 
-// busiestCustomers bounds the label set of figures by customer.
-const busiestCustomers = 20
+// maxCustomerLabels limits the cardinality of per-customer metrics.
+const maxCustomerLabels = 20
 
-// limitSource is what the collector reads, once a scrape.
+// limitSource provides the usage that the collector reads on each scrape.
 type limitSource interface {
-	// Limits returns the customers that this host serves, the busiest first.
+	// Limits returns the customers that this host serves, busiest first.
 	Limits() []quota.Row
 }
 
-// limitCollector publishes what a host knows of its busiest customers.
+// limitCollector exports the usage of a host's busiest customers.
 type limitCollector struct {
-	source  limitSource
-	use     *prometheus.Desc
-	refused *prometheus.Desc
-	unheard *prometheus.Desc
+	source           limitSource
+	use              *prometheus.Desc
+	refused          *prometheus.Desc
+	unreachableHomes *prometheus.Desc
 }
 
-// WatchLimits publishes the figures of the busiest customers.
+// WatchLimits exports the usage of the busiest customers.
 func (m *Metrics) WatchLimits(source limitSource) {
 	label := []string{"customer"}
 	m.registerer.MustRegister(&limitCollector{
-		source:  source,
-		use:     prometheus.NewDesc("pearshelf_customer_requests_per_second", "Requests a second that this host lets through, of its busiest customers.", label, nil),
-		refused: prometheus.NewDesc("pearshelf_customer_refused", "Requests beyond the customer's limit that this host has refused since its start, of its busiest customers.", label, nil),
-		unheard: prometheus.NewDesc("pearshelf_customer_homes_unheard", "Customers whose home host does not answer this one.", nil, nil),
+		source:           source,
+		use:              prometheus.NewDesc("pearshelf_customer_requests_per_second", "Requests a second that this host lets through, of its busiest customers.", label, nil),
+		refused:          prometheus.NewDesc("pearshelf_customer_refused", "Requests beyond the customer's limit that this host has refused since its start, of its busiest customers.", label, nil),
+		unreachableHomes: prometheus.NewDesc("pearshelf_customer_homes_unheard", "Customers whose home host does not answer this one.", nil, nil),
 	})
 }
 
 // Describe implements prometheus.Collector.
 func (c *limitCollector) Describe(out chan<- *prometheus.Desc) {
-	for _, desc := range []*prometheus.Desc{c.use, c.refused, c.unheard} {
+	for _, desc := range []*prometheus.Desc{c.use, c.refused, c.unreachableHomes} {
 		out <- desc
 	}
 }
@@ -50,18 +50,18 @@
 		if row.Unheard {
 			unheard++
 		}
-		if i < busiestCustomers {
+		if i < maxCustomerLabels {
 			out <- prometheus.MustNewConstMetric(c.use, prometheus.GaugeValue, row.Use, row.Customer)
 			out <- prometheus.MustNewConstMetric(c.refused, prometheus.GaugeValue, float64(row.Refused), row.Customer)
 		}
 	}
-	out <- prometheus.MustNewConstMetric(c.unheard, prometheus.GaugeValue, float64(unheard))
+	out <- prometheus.MustNewConstMetric(c.unreachableHomes, prometheus.GaugeValue, float64(unheard))
 }
 
-// Limited counts a request that has been held against its customer's limit.
+// Limited counts a request that was checked against its customer's limit.
 func (m *Metrics) Limited(allowed bool) {
-	m.limited.WithLabelValues(strconv.FormatBool(allowed)).Inc()
+	m.customerLimited.WithLabelValues(strconv.FormatBool(allowed)).Inc()
 }
 
-// Interface guard.
+// Interface assertion.
 var _ prometheus.Collector = (*limitCollector)(nil)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics holds the measurements that a host publishes in the
-// Prometheus format on its operators' listener.
+// Package metrics defines the Prometheus metrics that a host exports on its
+// operator listener.
 package metrics
 
 import (
@@ -9,18 +9,18 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics is all measurements of a host.
+// Metrics holds the metrics of a host.
 type Metrics struct {
 	registerer       prometheus.Registerer
 	latency          *prometheus.HistogramVec
 	retries          *prometheus.CounterVec
 	requests         *prometheus.CounterVec
-	added            *prometheus.HistogramVec
+	addedLatency     *prometheus.HistogramVec
 	observationsLost prometheus.Counter
-	ticks            prometheus.Histogram
+	tickDuration     prometheus.Histogram
 	membersLive      prometheus.Gauge
 	platformCalls    *prometheus.CounterVec
-	limited          *prometheus.CounterVec
+	customerLimited  *prometheus.CounterVec
 	serverEnds       *prometheus.CounterVec
 	quarantined      *prometheus.CounterVec
 	serverStates     *prometheus.CounterVec
@@ -29,10 +29,11 @@
 	documentBytes    *prometheus.CounterVec
 }
 
-// addedBuckets are in seconds, around the target of 1.2 ms.
-var addedBuckets = []float64{0.0001, 0.0002, 0.0004, 0.0008, 0.0012, 0.002, 0.004, 0.008, 0.016, 0.064, 0.256, 1, 4}
+// addedLatencyBuckets are histogram buckets in seconds, centred on the target of
+// 1.2 ms.
+var addedLatencyBuckets = []float64{0.0001, 0.0002, 0.0004, 0.0008, 0.0012, 0.002, 0.004, 0.008, 0.016, 0.064, 0.256, 1, 4}
 
-// New registers the measurements with a registerer.
+// New creates the metrics and registers them with reg.
 func New(reg prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		registerer: reg,
@@ -53,16 +54,16 @@
 			Name: "pearshelf_requests_total",
 			Help: "Requests from callers by service and outcome.",
 		}, []string{"service", "outcome"}),
-		added: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		addedLatency: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "pearshelf_added_seconds",
 			Help:    "Time to the first byte less the backend server's own, by service.",
-			Buckets: addedBuckets,
+			Buckets: addedLatencyBuckets,
 		}, []string{"service"}),
 		observationsLost: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pearshelf_observations_lost_total",
 			Help: "Outcomes that the control loop was too slow to take.",
 		}),
-		ticks: prometheus.NewHistogram(prometheus.HistogramOpts{
+		tickDuration: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "pearshelf_tick_seconds",
 			Help:    "Duration of one tick of the control loop.",
 			Buckets: prometheus.ExponentialBuckets(0.00001, 4, 8),
@@ -75,7 +76,7 @@
 			Name: "pearshelf_platform_calls_total",
 			Help: "Calls to the platform by result.",
 		}, []string{"result"}),
-		limited: prometheus.NewCounterVec(prometheus.CounterOpts{
+		customerLimited: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "pearshelf_limited_requests_total",
 			Help: "Requests of customers that have a limit, by whether it let them.",
 		}, []string{"allowed"}),
@@ -100,22 +101,23 @@
 		Name: "pearshelf_rate_limited_sends_total",
 		Help: "Sends to backend servers that name a rate limit, by whether it had room.",
 	}, []string{"allowed"})
-	reg.MustRegister(m.rateLimited, m.documentBytes, m.serverStates, m.sendsWithheld, m.limited, m.serverEnds, m.quarantined, m.requests, m.latency, m.retries, m.added, m.observationsLost, m.ticks, m.membersLive, m.platformCalls)
+	reg.MustRegister(m.rateLimited, m.documentBytes, m.serverStates, m.sendsWithheld, m.customerLimited, m.serverEnds, m.quarantined, m.requests, m.latency, m.retries, m.addedLatency, m.observationsLost, m.tickDuration, m.membersLive, m.platformCalls)
 	return m
 }
 
-// Request counts one answered request and the time that it took.
+// Request records a completed request and its duration.
 func (m *Metrics) Request(service, outcome string, took time.Duration) {
 	m.requests.WithLabelValues(service, outcome).Inc()
 	m.latency.WithLabelValues(service, outcome).Observe(took.Seconds())
 }
 
-// Retry counts a request that could be sent again.
+// Retry counts a request that was eligible for a retry, by whether the retry
+// budget allowed it.
 func (m *Metrics) Retry(service string, allowed bool) {
 	m.retries.WithLabelValues(service, strconv.FormatBool(allowed)).Inc()
 }
 
-// WatchLog publishes how many log lines were dropped so far.
+// WatchLog exports the number of dropped log lines.
 func (m *Metrics) WatchLog(dropped func() int64) {
 	m.registerer.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "pearshelf_log_lines_dropped_total",
@@ -123,33 +125,38 @@
 	}, func() float64 { return float64(dropped()) }))
 }
 
-// ServerEnded counts a request whose server ended while it had it.
+// ServerEnded counts a request whose backend server terminated while processing
+// it.
 func (m *Metrics) ServerEnded(service string) { m.serverEnds.WithLabelValues(service).Inc() }
 
-// Quarantined counts a request that was refused because servers end under it.
+// Quarantined counts a request that was rejected because requests of its kind
+// make backend servers terminate.
 func (m *Metrics) Quarantined(service string) { m.quarantined.WithLabelValues(service).Inc() }
 
-// ServerSaid counts that a backend server began to say something of itself.
+// ServerSaid counts a backend server that began to report the given state about
+// itself.
 func (m *Metrics) ServerSaid(state string) { m.serverStates.WithLabelValues(state).Inc() }
 
-// SendWithheld counts a send that was stopped right before its first byte.
+// SendWithheld counts a send that was cancelled just before its first byte.
 func (m *Metrics) SendWithheld(reason string) { m.sendsWithheld.WithLabelValues(reason).Inc() }
 
-// RateLimited counts a send to a server that names a rate limit.
+// RateLimited counts a send to a backend server that advertises a rate limit, by
+// whether the limit allowed it.
 func (m *Metrics) RateLimited(allowed bool) {
 	m.rateLimited.WithLabelValues(strconv.FormatBool(allowed)).Inc()
 }
 
-// Added takes the time that the fleet added to a request on this host.
+// Added records the latency that the fleet added to a request on this host.
 func (m *Metrics) Added(service string, d time.Duration) {
-	m.added.WithLabelValues(service).Observe(d.Seconds())
+	m.addedLatency.WithLabelValues(service).Observe(d.Seconds())
 }
 
-// ObservationLost counts an outcome that was dropped.
+// ObservationLost counts a request outcome that was dropped because the control
+// loop did not keep up.
 func (m *Metrics) ObservationLost() { m.observationsLost.Inc() }
 
-// Tick takes the duration of a tick.
-func (m *Metrics) Tick(d time.Duration) { m.ticks.Observe(d.Seconds()) }
+// Tick records the duration of one tick of the control loop.
+func (m *Metrics) Tick(d time.Duration) { m.tickDuration.Observe(d.Seconds()) }
 
 // MembersLive sets the number of live hosts.
 func (m *Metrics) MembersLive(n int) { m.membersLive.Set(float64(n)) }
@@ -163,7 +170,7 @@
 	m.platformCalls.WithLabelValues(result).Inc()
 }
 
-// WatchHeldBytes publishes how many bytes of bodies the host holds.
+// WatchHeldBytes exports the number of body bytes that the host buffers.
 func (m *Metrics) WatchHeldBytes(held func() int64) {
 	m.registerer.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "pearshelf_held_bytes",
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -12,7 +12,8 @@
 	"github.com/pearshelf/pearshelf/internal/world"
 )
 
-// value returns a gauge or counter by name, over all its labels.
+// value returns the sum of a metric over all its labels: the value of gauges and
+// counters, the sample count of histograms.
 func value(t *testing.T, reg *prometheus.Registry, name string) float64 {
 	t.Helper()
 	families, err := reg.Gather()
@@ -35,7 +36,7 @@
 	return total
 }
 
-// What the balancer believes shows on the metrics address.
+// The balancer's statistics are exported.
 func TestBalancerIsPublished(t *testing.T) {
 	reg := prometheus.NewRegistry()
 	m := metrics.New(reg)
