--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -225,7 +225,7 @@
 	if err := decode(raw, doc, maxDocumentBytes); err != nil {
 		return nil, err
 	}
-	check := &checker{}
+	check := &validator{}
 	check.document(doc)
 	if err := check.err(); err != nil {
 		return nil, err
@@ -239,7 +239,7 @@
 	if err := decode(raw, list, maxDocumentBytes); err != nil {
 		return nil, err
 	}
-	check := &checker{}
+	check := &validator{}
 	seen := make(map[string]bool)
 	for i, h := range list.Hosts {
 		check.hostEntry(fmt.Sprintf("hosts[%d]", i), h, seen)
@@ -286,32 +286,32 @@
 	return decoder.Decode(into)
 }
 
-// checker collects all validation errors of a document, so that they can be
+// validator collects all validation errors of a document, so that they can be
 // corrected in one pass.
-type checker struct {
+type validator struct {
 	faults []string
 }
 
-func (c *checker) addf(format string, args ...any) {
+func (c *validator) addf(format string, args ...any) {
 	c.faults = append(c.faults, fmt.Sprintf(format, args...))
 }
 
-func (c *checker) err() error {
+func (c *validator) err() error {
 	if len(c.faults) == 0 {
 		return nil
 	}
 	return errs.New(errs.KindConfig, strings.Join(c.faults, "; "), remedyFixAndPublish)
 }
 
-func (c *checker) document(doc *Document) {
+func (c *validator) document(doc *Document) {
 	names := make(map[string]bool)
 	backends := 0
 	for i := range doc.Services {
 		svc := &doc.Services[i]
-		at := fmt.Sprintf("services[%d]", i)
-		c.name(at+".name", svc.Name, names)
+		path := fmt.Sprintf("services[%d]", i)
+		c.name(path+".name", svc.Name, names)
 		svc.setDefaults()
-		c.service(at, svc)
+		c.service(path, svc)
 		backends += len(svc.Backends)
 	}
 	c.sharedRoutes(doc.Routes, names)
@@ -322,114 +322,114 @@
 }
 
 // sharedRoutes validates document-level routes, which name their target services.
-func (c *checker) sharedRoutes(routes []Route, services map[string]bool) {
+func (c *validator) sharedRoutes(routes []Route, services map[string]bool) {
 	for i, r := range routes {
-		at := fmt.Sprintf("routes[%d]", i)
-		c.route(at, r)
+		path := fmt.Sprintf("routes[%d]", i)
+		c.route(path, r)
 		total := 0
 		for _, share := range r.Split {
 			if !services[share.Service] {
-				c.addf("%s.split: service %q is not declared", at, share.Service)
+				c.addf("%s.split: service %q is not declared", path, share.Service)
 			}
 			if share.Weight < 0 {
-				c.addf("%s.split: weight %d is negative", at, share.Weight)
+				c.addf("%s.split: weight %d is negative", path, share.Weight)
 			}
 			total += share.Weight
 		}
 		if total <= 0 {
-			c.addf("%s.split: at least one service must have a positive weight", at)
+			c.addf("%s.split: at least one service must have a positive weight", path)
 		}
 	}
 }
 
-func (c *checker) route(at string, r Route) {
+func (c *validator) route(path string, r Route) {
 	if !strings.HasPrefix(r.Path, "/") {
-		c.addf("%s.path: %q must start with /", at, r.Path)
+		c.addf("%s.path: %q must start with /", path, r.Path)
 	}
 	if r.Timeout < 0 || time.Duration(r.Timeout) > MaxTimeout {
-		c.addf("%s.timeout: %s is outside 0 to %s", at, time.Duration(r.Timeout), MaxTimeout)
+		c.addf("%s.timeout: %s is outside 0 to %s", path, time.Duration(r.Timeout), MaxTimeout)
 	}
-	c.inRange(at+".attempts", r.Attempts, 0, MaxAttempts)
+	c.inRange(path+".attempts", r.Attempts, 0, MaxAttempts)
 }
 
-func (c *checker) identifier(at, name string) {
+func (c *validator) identifier(path, name string) {
 	if name == "" || strings.ContainsAny(name, "/ \t\n") {
-		c.addf("%s: %q must be non-empty and contain no slash or whitespace", at, name)
+		c.addf("%s: %q must be non-empty and contain no slash or whitespace", path, name)
 	}
 }
 
-func (c *checker) name(at, name string, seen map[string]bool) {
-	c.identifier(at, name)
+func (c *validator) name(path, name string, seen map[string]bool) {
+	c.identifier(path, name)
 	if seen[name] {
-		c.addf("%s: duplicate value %q", at, name)
+		c.addf("%s: duplicate value %q", path, name)
 	}
 	seen[name] = true
 }
 
-func (c *checker) hostEntry(at string, h ListedHost, seen map[string]bool) {
-	c.name(at+".name", h.Name, seen)
-	c.address(at+".address", h.Address)
+func (c *validator) hostEntry(path string, h ListedHost, seen map[string]bool) {
+	c.name(path+".name", h.Name, seen)
+	c.address(path+".address", h.Address)
 	if h.DataCentre == "" {
-		c.addf("%s.data_centre: must be set", at)
+		c.addf("%s.data_centre: must be set", path)
 	}
 }
 
-func (c *checker) address(at, address string) {
+func (c *validator) address(path, address string) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		c.addf("%s: %q must be IP:port", at, address)
+		c.addf("%s: %q must be IP:port", path, address)
 	}
 }
 
-func (c *checker) inRange(at string, value, low, high int) {
+func (c *validator) inRange(path string, value, low, high int) {
 	if value < low || value > high {
-		c.addf("%s: %d is outside %d to %d", at, value, low, high)
+		c.addf("%s: %d is outside %d to %d", path, value, low, high)
 	}
 }
 
-func (c *checker) service(at string, svc *Service) {
-	c.inRange(at+".floor", svc.Floor, 0, len(svc.Backends))
-	c.inRange(at+".slots", svc.Slots, 1, MaxSlots)
-	c.inRange(at+".queue", svc.Queue, 0, MaxSlots)
-	c.duration(at+".timeout", svc.Timeout)
-	c.duration(at+".queue_wait", svc.QueueWait)
+func (c *validator) service(path string, svc *Service) {
+	c.inRange(path+".floor", svc.Floor, 0, len(svc.Backends))
+	c.inRange(path+".slots", svc.Slots, 1, MaxSlots)
+	c.inRange(path+".queue", svc.Queue, 0, MaxSlots)
+	c.duration(path+".timeout", svc.Timeout)
+	c.duration(path+".queue_wait", svc.QueueWait)
 	if !(svc.ColdPerSecond >= 0) {
-		c.addf("%s.cold_per_second: %g must be a non-negative number", at, svc.ColdPerSecond)
+		c.addf("%s.cold_per_second: %g must be a non-negative number", path, svc.ColdPerSecond)
 	}
 	if svc.Detection != DetectionFast && svc.Detection != DetectionCareful {
-		c.addf("%s.detection: %q must be %s", at, svc.Detection, allowedDetectionText)
+		c.addf("%s.detection: %q must be %s", path, svc.Detection, allowedDetectionText)
 	}
 	if !strings.HasPrefix(svc.Probe.Path, "/") {
-		c.addf("%s.probe.path: %q must start with /", at, svc.Probe.Path)
+		c.addf("%s.probe.path: %q must start with /", path, svc.Probe.Path)
 	}
 	for i, route := range svc.Routes {
-		c.route(fmt.Sprintf("%s.routes[%d]", at, i), route)
+		c.route(fmt.Sprintf("%s.routes[%d]", path, i), route)
 	}
-	c.backends(at, svc)
+	c.backends(path, svc)
 }
 
-func (c *checker) backends(at string, svc *Service) {
+func (c *validator) backends(path string, svc *Service) {
 	ids := make(map[string]bool)
 	addresses := make(map[string]bool)
 	for i, b := range svc.Backends {
-		where := fmt.Sprintf("%s.backends[%d]", at, i)
-		c.backend(where, b, ids)
+		backendPath := fmt.Sprintf("%s.backends[%d]", path, i)
+		c.backend(backendPath, b, ids)
 		if addresses[b.Address] {
-			c.addf("%s.address: duplicate value %q", where, b.Address)
+			c.addf("%s.address: duplicate value %q", backendPath, b.Address)
 		}
 		addresses[b.Address] = true
 	}
 }
 
-func (c *checker) backend(at string, b Backend, ids map[string]bool) {
-	c.name(at+".id", b.ID, ids)
-	c.address(at+".address", b.Address)
-	c.inRange(at+".slots", b.Slots, 1, MaxSlots)
+func (c *validator) backend(path string, b Backend, ids map[string]bool) {
+	c.name(path+".id", b.ID, ids)
+	c.address(path+".address", b.Address)
+	c.inRange(path+".slots", b.Slots, 1, MaxSlots)
 }
 
-func (c *checker) duration(at string, d Duration) {
+func (c *validator) duration(path string, d Duration) {
 	value := time.Duration(d)
 	if value < minDuration || value > MaxTimeout {
-		c.addf("%s: %s is outside %s to %s", at, value, minDuration, MaxTimeout)
+		c.addf("%s: %s is outside %s to %s", path, value, minDuration, MaxTimeout)
 	}
 }
 
--- a/internal/config/customers.go
+++ b/internal/config/customers.go
@@ -47,36 +47,36 @@
 	return entry
 }
 
-func (c *checker) customers(customers []Customer) {
+func (c *validator) customers(customers []Customer) {
 	names := make(map[string]bool)
-	holders := make(map[string]string) // customer name by key digest
+	customerByDigest := make(map[string]string) // customer name by key digest
 	for i := range customers {
-		one := &customers[i]
-		at := fmt.Sprintf("customers[%d]", i)
-		c.name(at+".name", one.Name, names)
-		c.rate(at+".per_second", one.PerSecond)
-		c.rate(at+".burst", one.Burst)
-		for k, text := range one.KeyDigests {
-			c.keyDigest(fmt.Sprintf("%s.key_digests[%d]", at, k), text, one.Name, holders)
+		entry := &customers[i]
+		path := fmt.Sprintf("customers[%d]", i)
+		c.name(path+".name", entry.Name, names)
+		c.rate(path+".per_second", entry.PerSecond)
+		c.rate(path+".burst", entry.Burst)
+		for k, text := range entry.KeyDigests {
+			c.keyDigest(fmt.Sprintf("%s.key_digests[%d]", path, k), text, entry.Name, customerByDigest)
 		}
 	}
 }
 
-func (c *checker) rate(at string, value float64) {
+func (c *validator) rate(path string, value float64) {
 	if value < 0 || math.IsInf(value, 0) || math.IsNaN(value) {
-		c.addf("%s: %g must be a finite, non-negative number", at, value)
+		c.addf("%s: %g must be a finite, non-negative number", path, value)
 	}
 }
 
 // keyDigest validates one digest. Its errors name customers but never contain
 // the text, which may be a plain key.
-func (c *checker) keyDigest(at, text, name string, holders map[string]string) {
+func (c *validator) keyDigest(path, text, name string, customerByDigest map[string]string) {
 	if _, err := customer.ParseDigest(text); err != nil {
-		c.addf("%s: invalid key digest; use pearshelf key-digest to create one", at)
+		c.addf("%s: invalid key digest; use pearshelf key-digest to create one", path)
 		return
 	}
-	if holder, held := holders[text]; held && holder != name {
-		c.addf("%s: key is already assigned to customer %q", at, holder)
+	if owner, assigned := customerByDigest[text]; assigned && owner != name {
+		c.addf("%s: key is already assigned to customer %q", path, owner)
 	}
-	holders[text] = name
+	customerByDigest[text] = name
 }
--- a/internal/config/discovered.go
+++ b/internal/config/discovered.go
@@ -38,7 +38,7 @@
 	if err := decode(raw, found, maxDiscoveredBytes); err != nil {
 		return nil, nil, err
 	}
-	check := &checker{}
+	check := &validator{}
 	ids := make(map[string]bool)
 	valid := found.Backends[:0]
 	for i, b := range found.Backends {
@@ -52,14 +52,14 @@
 	return found, check.faults, nil
 }
 
-func (c *checker) discovered(at string, b DiscoveredBackend, ids map[string]bool) {
-	c.backend(at, b.Backend, ids)
-	c.identifier(at+".service", b.Service)
+func (c *validator) discovered(path string, b DiscoveredBackend, ids map[string]bool) {
+	c.backend(path, b.Backend, ids)
+	c.identifier(path+".service", b.Service)
 }
 
 // Check validates a single entry.
 func (b DiscoveredBackend) Check() error {
-	check := &checker{}
+	check := &validator{}
 	check.discovered("backend", b, make(map[string]bool))
 	return check.err()
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -112,8 +112,8 @@
 	// Kind is PlatformDocuments or PlatformStore. Default: documents.
 	Kind string `yaml:"kind"`
 	// DirectAfter is the time after which a new host that has received no
-	// configuration from peers queries the platform itself, with jitter of up to
-	// DirectSpread. Lower values make a host ready sooner but cause more reads
+	// configuration from peers queries the platform itself; the queries of the
+	// hosts are spread over DirectSpread. Lower values make a host ready sooner but cause more reads
 	// when the whole fleet restarts. Defaults: 2s and 3s.
 	DirectAfter  config.Duration `yaml:"direct_after"`
 	DirectSpread config.Duration `yaml:"direct_spread"`
@@ -237,7 +237,7 @@
 		return nil, errs.Wrap(err, errs.KindSettings, name+": cannot parse settings", "correct the reported line; docs/SETTINGS.md lists every field")
 	}
 	s.SetDefaults()
-	check := newChecker(name, raw)
+	check := newValidator(name, raw)
 	check.settings(s)
 	return s, check.err()
 }
@@ -287,15 +287,15 @@
 	}
 }
 
-// checker collects validation errors with the line of the affected field.
-type checker struct {
+// validator collects validation errors with the line of the affected field.
+type validator struct {
 	name   string
 	lines  map[string]int
 	faults []string
 }
 
-func newChecker(name string, raw []byte) *checker {
-	c := &checker{name: name, lines: make(map[string]int)}
+func newValidator(name string, raw []byte) *validator {
+	c := &validator{name: name, lines: make(map[string]int)}
 	var root yaml.Node
 	if err := yaml.Unmarshal(raw, &root); err == nil && len(root.Content) > 0 {
 		c.index("", root.Content[0])
@@ -304,7 +304,7 @@
 }
 
 // index records the line of every field by its dotted path.
-func (c *checker) index(prefix string, node *yaml.Node) {
+func (c *validator) index(prefix string, node *yaml.Node) {
 	if node.Kind != yaml.MappingNode {
 		return
 	}
@@ -315,22 +315,22 @@
 	}
 }
 
-func (c *checker) addf(field, format string, args ...any) {
-	where := c.name
+func (c *validator) addf(field, format string, args ...any) {
+	location := c.name
 	if line, ok := c.lines[field]; ok {
-		where = fmt.Sprintf("%s:%d", c.name, line)
+		location = fmt.Sprintf("%s:%d", c.name, line)
 	}
-	c.faults = append(c.faults, where+": "+field+": "+fmt.Sprintf(format, args...))
+	c.faults = append(c.faults, location+": "+field+": "+fmt.Sprintf(format, args...))
 }
 
-func (c *checker) err() error {
+func (c *validator) err() error {
 	if len(c.faults) == 0 {
 		return nil
 	}
 	return errs.New(errs.KindSettings, strings.Join(c.faults, "\n"), "correct the reported fields; docs/SETTINGS.md lists the valid ranges")
 }
 
-func (c *checker) settings(s *Settings) {
+func (c *validator) settings(s *Settings) {
 	c.identifier("host", s.Host)
 	c.identifier("data_centre", s.DataCentre)
 	if !(s.MemoryMB >= 0 && s.MemoryMB <= maxMemoryMB) {
@@ -375,13 +375,13 @@
 	c.timing(s)
 }
 
-func (c *checker) identifier(field, value string) {
+func (c *validator) identifier(field, value string) {
 	if value == "" || strings.ContainsAny(value, "/ \t\n") {
 		c.addf(field, "%q must be non-empty and contain no slash or whitespace", value)
 	}
 }
 
-func (c *checker) addresses(s *Settings) {
+func (c *validator) addresses(s *Settings) {
 	listeners := []struct{ field, address string }{
 		{"caller.listen", s.Caller.Listen},
 		{"peer.listen", s.Peer.Listen},
@@ -410,19 +410,19 @@
 
 // forwarding rejects owner hosts on a platform whose requests need attempt
 // numbers and header names that the owner protocol does not carry.
-func (c *checker) forwarding(s *Settings) {
+func (c *validator) forwarding(s *Settings) {
 	if s.Platform.Kind == PlatformStore && *s.Forwarding {
 		c.addf("forwarding", "must be false with platform.kind: %s: owner hosts do not support that platform's protocol", PlatformStore)
 	}
 }
 
-func (c *checker) address(field, address string) {
+func (c *validator) address(field, address string) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		c.addf(field, "%q must be IP:port", address)
 	}
 }
 
-func (c *checker) requireTLS(field string, keys TLS, insecure bool) {
+func (c *validator) requireTLS(field string, keys TLS, insecure bool) {
 	switch {
 	case !keys.Enabled() && !insecure:
 		c.addf(field+".tls", "cert_file, key_file and ca_file are required unless %s.insecure: true permits plaintext", field)
@@ -431,7 +431,7 @@
 	}
 }
 
-func (c *checker) timing(s *Settings) {
+func (c *validator) timing(s *Settings) {
 	ranges := []struct {
 		field     string
 		value     config.Duration
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"github.com/pearshelf/pearshelf/internal/settings"
 )
 
-const good = `host: h1
+const validSettings = `host: h1
 data_centre: dc1
 caller: {listen: "127.0.0.1:1"}
 peer: {listen: "127.0.0.1:2", insecure: true}
@@ -36,17 +36,17 @@
 // Validation errors report the file, the line, the field and a remedy.
 func TestStrictSettings(t *testing.T) {
 	cases := map[string]struct{ text, want string }{
-		"unknown key":       {good + "hots: x\n", "line 7"},
-		"wrong type":        {good + "timing: {tick: fast}\n", "line 7"},
-		"out of range":      {good + "timing:\n  tick: 1h\n", "f.yaml:8: timing.tick: 1h0m0s is outside 5ms to 1s"},
-		"duplicate address": {strings.Replace(good, "127.0.0.1:3", "127.0.0.1:2", 1), "operator.listen: \"127.0.0.1:2\" is already the address of peer.listen"},
-		"no security":       {strings.Replace(good, "\"127.0.0.1:2\", insecure: true", "\"127.0.0.1:2\"", 1), "peer.insecure: true"},
-		"claim too long":    {good + "timing: {claim_horizon: 1s, claim_timeout: 600ms}\n", "at most half of timing.claim_horizon"},
-		"owners on a store": {strings.Replace(good, "platform: {", "platform: {kind: store, ", 1), "forwarding: must be false with platform.kind: store"},
-		"no mechanism":      {good + "policy: {without: [copies, magic]}\n", "policy.without: unknown mechanism \"magic\""},
-		"no host":           {strings.Replace(good, "host: h1", "host: ''", 1), "f.yaml:1: host"},
+		"unknown key":       {validSettings + "hots: x\n", "line 7"},
+		"wrong type":        {validSettings + "timing: {tick: fast}\n", "line 7"},
+		"out of range":      {validSettings + "timing:\n  tick: 1h\n", "f.yaml:8: timing.tick: 1h0m0s is outside 5ms to 1s"},
+		"duplicate address": {strings.Replace(validSettings, "127.0.0.1:3", "127.0.0.1:2", 1), "operator.listen: \"127.0.0.1:2\" is already the address of peer.listen"},
+		"no security":       {strings.Replace(validSettings, "\"127.0.0.1:2\", insecure: true", "\"127.0.0.1:2\"", 1), "peer.insecure: true"},
+		"claim too long":    {validSettings + "timing: {claim_horizon: 1s, claim_timeout: 600ms}\n", "at most half of timing.claim_horizon"},
+		"owners on a store": {strings.Replace(validSettings, "platform: {", "platform: {kind: store, ", 1), "forwarding: must be false with platform.kind: store"},
+		"no mechanism":      {validSettings + "policy: {without: [copies, magic]}\n", "policy.without: unknown mechanism \"magic\""},
+		"no host":           {strings.Replace(validSettings, "host: h1", "host: ''", 1), "f.yaml:1: host"},
 	}
-	if _, err := settings.Parse("f.yaml", []byte(good)); err != nil {
+	if _, err := settings.Parse("f.yaml", []byte(validSettings)); err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range cases {
