--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -292,144 +292,144 @@
 	faults []string
 }
 
-func (c *validator) addf(format string, args ...any) {
-	c.faults = append(c.faults, fmt.Sprintf(format, args...))
+func (v *validator) addf(format string, args ...any) {
+	v.faults = append(v.faults, fmt.Sprintf(format, args...))
 }
 
-func (c *validator) err() error {
-	if len(c.faults) == 0 {
+func (v *validator) err() error {
+	if len(v.faults) == 0 {
 		return nil
 	}
-	return errs.New(errs.KindConfig, strings.Join(c.faults, "; "), remedyFixAndPublish)
+	return errs.New(errs.KindConfig, strings.Join(v.faults, "; "), remedyFixAndPublish)
 }
 
-func (c *validator) document(doc *Document) {
+func (v *validator) document(doc *Document) {
 	names := make(map[string]bool)
 	backends := 0
 	for i := range doc.Services {
 		svc := &doc.Services[i]
 		path := fmt.Sprintf("services[%d]", i)
-		c.name(path+".name", svc.Name, names)
+		v.name(path+".name", svc.Name, names)
 		svc.setDefaults()
-		c.service(path, svc)
+		v.service(path, svc)
 		backends += len(svc.Backends)
 	}
-	c.sharedRoutes(doc.Routes, names)
-	c.customers(doc.Customers)
+	v.sharedRoutes(doc.Routes, names)
+	v.customers(doc.Customers)
 	if backends > MaxBackendsPerShard {
-		c.addf("document has %d backend servers, limit is %d", backends, MaxBackendsPerShard)
+		v.addf("document has %d backend servers, limit is %d", backends, MaxBackendsPerShard)
 	}
 }
 
 // sharedRoutes validates document-level routes, which name their target services.
-func (c *validator) sharedRoutes(routes []Route, services map[string]bool) {
+func (v *validator) sharedRoutes(routes []Route, services map[string]bool) {
 	for i, r := range routes {
 		path := fmt.Sprintf("routes[%d]", i)
-		c.route(path, r)
+		v.route(path, r)
 		total := 0
 		for _, share := range r.Split {
 			if !services[share.Service] {
-				c.addf("%s.split: service %q is not declared", path, share.Service)
+				v.addf("%s.split: service %q is not declared", path, share.Service)
 			}
 			if share.Weight < 0 {
-				c.addf("%s.split: weight %d is negative", path, share.Weight)
+				v.addf("%s.split: weight %d is negative", path, share.Weight)
 			}
 			total += share.Weight
 		}
 		if total <= 0 {
-			c.addf("%s.split: at least one service must have a positive weight", path)
+			v.addf("%s.split: at least one service must have a positive weight", path)
 		}
 	}
 }
 
-func (c *validator) route(path string, r Route) {
+func (v *validator) route(path string, r Route) {
 	if !strings.HasPrefix(r.Path, "/") {
-		c.addf("%s.path: %q must start with /", path, r.Path)
+		v.addf("%s.path: %q must start with /", path, r.Path)
 	}
 	if r.Timeout < 0 || time.Duration(r.Timeout) > MaxTimeout {
-		c.addf("%s.timeout: %s is outside 0 to %s", path, time.Duration(r.Timeout), MaxTimeout)
+		v.addf("%s.timeout: %s is outside 0 to %s", path, time.Duration(r.Timeout), MaxTimeout)
 	}
-	c.inRange(path+".attempts", r.Attempts, 0, MaxAttempts)
+	v.inRange(path+".attempts", r.Attempts, 0, MaxAttempts)
 }
 
-func (c *validator) identifier(path, name string) {
+func (v *validator) identifier(path, name string) {
 	if name == "" || strings.ContainsAny(name, "/ \t\n") {
-		c.addf("%s: %q must be non-empty and contain no slash or whitespace", path, name)
+		v.addf("%s: %q must be non-empty and contain no slash or whitespace", path, name)
 	}
 }
 
-func (c *validator) name(path, name string, seen map[string]bool) {
-	c.identifier(path, name)
+func (v *validator) name(path, name string, seen map[string]bool) {
+	v.identifier(path, name)
 	if seen[name] {
-		c.addf("%s: duplicate value %q", path, name)
+		v.addf("%s: duplicate value %q", path, name)
 	}
 	seen[name] = true
 }
 
-func (c *validator) hostEntry(path string, h ListedHost, seen map[string]bool) {
-	c.name(path+".name", h.Name, seen)
-	c.address(path+".address", h.Address)
+func (v *validator) hostEntry(path string, h ListedHost, seen map[string]bool) {
+	v.name(path+".name", h.Name, seen)
+	v.address(path+".address", h.Address)
 	if h.DataCentre == "" {
-		c.addf("%s.data_centre: must be set", path)
+		v.addf("%s.data_centre: must be set", path)
 	}
 }
 
-func (c *validator) address(path, address string) {
+func (v *validator) address(path, address string) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		c.addf("%s: %q must be IP:port", path, address)
+		v.addf("%s: %q must be IP:port", path, address)
 	}
 }
 
-func (c *validator) inRange(path string, value, low, high int) {
+func (v *validator) inRange(path string, value, low, high int) {
 	if value < low || value > high {
-		c.addf("%s: %d is outside %d to %d", path, value, low, high)
+		v.addf("%s: %d is outside %d to %d", path, value, low, high)
 	}
 }
 
-func (c *validator) service(path string, svc *Service) {
-	c.inRange(path+".floor", svc.Floor, 0, len(svc.Backends))
-	c.inRange(path+".slots", svc.Slots, 1, MaxSlots)
-	c.inRange(path+".queue", svc.Queue, 0, MaxSlots)
-	c.duration(path+".timeout", svc.Timeout)
-	c.duration(path+".queue_wait", svc.QueueWait)
+func (v *validator) service(path string, svc *Service) {
+	v.inRange(path+".floor", svc.Floor, 0, len(svc.Backends))
+	v.inRange(path+".slots", svc.Slots, 1, MaxSlots)
+	v.inRange(path+".queue", svc.Queue, 0, MaxSlots)
+	v.duration(path+".timeout", svc.Timeout)
+	v.duration(path+".queue_wait", svc.QueueWait)
 	if !(svc.ColdPerSecond >= 0) {
-		c.addf("%s.cold_per_second: %g must be a non-negative number", path, svc.ColdPerSecond)
+		v.addf("%s.cold_per_second: %g must be a non-negative number", path, svc.ColdPerSecond)
 	}
 	if svc.Detection != DetectionFast && svc.Detection != DetectionCareful {
-		c.addf("%s.detection: %q must be %s", path, svc.Detection, allowedDetectionText)
+		v.addf("%s.detection: %q must be %s", path, svc.Detection, allowedDetectionText)
 	}
 	if !strings.HasPrefix(svc.Probe.Path, "/") {
-		c.addf("%s.probe.path: %q must start with /", path, svc.Probe.Path)
+		v.addf("%s.probe.path: %q must start with /", path, svc.Probe.Path)
 	}
 	for i, route := range svc.Routes {
-		c.route(fmt.Sprintf("%s.routes[%d]", path, i), route)
+		v.route(fmt.Sprintf("%s.routes[%d]", path, i), route)
 	}
-	c.backends(path, svc)
+	v.backends(path, svc)
 }
 
-func (c *validator) backends(path string, svc *Service) {
+func (v *validator) backends(path string, svc *Service) {
 	ids := make(map[string]bool)
 	addresses := make(map[string]bool)
 	for i, b := range svc.Backends {
 		backendPath := fmt.Sprintf("%s.backends[%d]", path, i)
-		c.backend(backendPath, b, ids)
+		v.backend(backendPath, b, ids)
 		if addresses[b.Address] {
-			c.addf("%s.address: duplicate value %q", backendPath, b.Address)
+			v.addf("%s.address: duplicate value %q", backendPath, b.Address)
 		}
 		addresses[b.Address] = true
 	}
 }
 
-func (c *validator) backend(path string, b Backend, ids map[string]bool) {
-	c.name(path+".id", b.ID, ids)
-	c.address(path+".address", b.Address)
-	c.inRange(path+".slots", b.Slots, 1, MaxSlots)
+func (v *validator) backend(path string, b Backend, ids map[string]bool) {
+	v.name(path+".id", b.ID, ids)
+	v.address(path+".address", b.Address)
+	v.inRange(path+".slots", b.Slots, 1, MaxSlots)
 }
 
-func (c *validator) duration(path string, d Duration) {
+func (v *validator) duration(path string, d Duration) {
 	value := time.Duration(d)
 	if value < minDuration || value > MaxTimeout {
-		c.addf("%s: %s is outside %s to %s", path, value, minDuration, MaxTimeout)
+		v.addf("%s: %s is outside %s to %s", path, value, minDuration, MaxTimeout)
 	}
 }
 
--- a/internal/config/customers.go
+++ b/internal/config/customers.go
@@ -47,36 +47,36 @@
 	return entry
 }
 
-func (c *validator) customers(customers []Customer) {
+func (v *validator) customers(customers []Customer) {
 	names := make(map[string]bool)
 	customerByDigest := make(map[string]string) // customer name by key digest
 	for i := range customers {
 		entry := &customers[i]
 		path := fmt.Sprintf("customers[%d]", i)
-		c.name(path+".name", entry.Name, names)
-		c.rate(path+".per_second", entry.PerSecond)
-		c.rate(path+".burst", entry.Burst)
+		v.name(path+".name", entry.Name, names)
+		v.rate(path+".per_second", entry.PerSecond)
+		v.rate(path+".burst", entry.Burst)
 		for k, text := range entry.KeyDigests {
-			c.keyDigest(fmt.Sprintf("%s.key_digests[%d]", path, k), text, entry.Name, customerByDigest)
+			v.keyDigest(fmt.Sprintf("%s.key_digests[%d]", path, k), text, entry.Name, customerByDigest)
 		}
 	}
 }
 
-func (c *validator) rate(path string, value float64) {
+func (v *validator) rate(path string, value float64) {
 	if value < 0 || math.IsInf(value, 0) || math.IsNaN(value) {
-		c.addf("%s: %g must be a finite, non-negative number", path, value)
+		v.addf("%s: %g must be a finite, non-negative number", path, value)
 	}
 }
 
 // keyDigest validates one digest. Its errors name customers but never contain
 // the text, which may be a plain key.
-func (c *validator) keyDigest(path, text, name string, customerByDigest map[string]string) {
+func (v *validator) keyDigest(path, text, name string, customerByDigest map[string]string) {
 	if _, err := customer.ParseDigest(text); err != nil {
-		c.addf("%s: invalid key digest; use pearshelf key-digest to create one", path)
+		v.addf("%s: invalid key digest; use pearshelf key-digest to create one", path)
 		return
 	}
 	if owner, assigned := customerByDigest[text]; assigned && owner != name {
-		c.addf("%s: key is already assigned to customer %q", path, owner)
+		v.addf("%s: key is already assigned to customer %q", path, owner)
 	}
 	customerByDigest[text] = name
 }
--- a/internal/config/discovered.go
+++ b/internal/config/discovered.go
@@ -52,9 +52,9 @@
 	return found, check.faults, nil
 }
 
-func (c *validator) discovered(path string, b DiscoveredBackend, ids map[string]bool) {
-	c.backend(path, b.Backend, ids)
-	c.identifier(path+".service", b.Service)
+func (v *validator) discovered(path string, b DiscoveredBackend, ids map[string]bool) {
+	v.backend(path, b.Backend, ids)
+	v.identifier(path+".service", b.Service)
 }
 
 // Check validates a single entry.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -295,93 +295,93 @@
 }
 
 func newValidator(name string, raw []byte) *validator {
-	c := &validator{name: name, lines: make(map[string]int)}
+	v := &validator{name: name, lines: make(map[string]int)}
 	var root yaml.Node
 	if err := yaml.Unmarshal(raw, &root); err == nil && len(root.Content) > 0 {
-		c.index("", root.Content[0])
+		v.index("", root.Content[0])
 	}
-	return c
+	return v
 }
 
 // index records the line of every field by its dotted path.
-func (c *validator) index(prefix string, node *yaml.Node) {
+func (v *validator) index(prefix string, node *yaml.Node) {
 	if node.Kind != yaml.MappingNode {
 		return
 	}
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		path := prefix + node.Content[i].Value
-		c.lines[path] = node.Content[i].Line
-		c.index(path+".", node.Content[i+1])
+		v.lines[path] = node.Content[i].Line
+		v.index(path+".", node.Content[i+1])
 	}
 }
 
-func (c *validator) addf(field, format string, args ...any) {
-	location := c.name
-	if line, ok := c.lines[field]; ok {
-		location = fmt.Sprintf("%s:%d", c.name, line)
+func (v *validator) addf(field, format string, args ...any) {
+	location := v.name
+	if line, ok := v.lines[field]; ok {
+		location = fmt.Sprintf("%s:%d", v.name, line)
 	}
-	c.faults = append(c.faults, location+": "+field+": "+fmt.Sprintf(format, args...))
+	v.faults = append(v.faults, location+": "+field+": "+fmt.Sprintf(format, args...))
 }
 
-func (c *validator) err() error {
-	if len(c.faults) == 0 {
+func (v *validator) err() error {
+	if len(v.faults) == 0 {
 		return nil
 	}
-	return errs.New(errs.KindSettings, strings.Join(c.faults, "\n"), "correct the reported fields; docs/SETTINGS.md lists the valid ranges")
+	return errs.New(errs.KindSettings, strings.Join(v.faults, "\n"), "correct the reported fields; docs/SETTINGS.md lists the valid ranges")
 }
 
-func (c *validator) settings(s *Settings) {
-	c.identifier("host", s.Host)
-	c.identifier("data_centre", s.DataCentre)
+func (v *validator) settings(s *Settings) {
+	v.identifier("host", s.Host)
+	v.identifier("data_centre", s.DataCentre)
 	if !(s.MemoryMB >= 0 && s.MemoryMB <= maxMemoryMB) {
-		c.addf("memory_mb", "%g is outside 0 to %d", s.MemoryMB, maxMemoryMB)
+		v.addf("memory_mb", "%g is outside 0 to %d", s.MemoryMB, maxMemoryMB)
 	}
 	if !(s.Cores >= 0 && s.Cores <= maxCores) {
-		c.addf("cores", "%g is outside 0 to %d", s.Cores, maxCores)
+		v.addf("cores", "%g is outside 0 to %d", s.Cores, maxCores)
 	}
 	for _, dataCentre := range slices.Sorted(maps.Keys(s.Regions)) {
-		c.identifier("regions."+dataCentre, s.Regions[dataCentre])
+		v.identifier("regions."+dataCentre, s.Regions[dataCentre])
 	}
-	c.addresses(s)
-	c.forwarding(s)
-	c.requireTLS("peer", s.Peer.TLS, s.Peer.Insecure)
-	c.requireTLS("operator", s.Operator.TLS, s.Operator.Insecure)
+	v.addresses(s)
+	v.forwarding(s)
+	v.requireTLS("peer", s.Peer.TLS, s.Peer.Insecure)
+	v.requireTLS("operator", s.Operator.TLS, s.Operator.Insecure)
 	if s.Peer.TLS.Enabled() && s.Peer.DatagramKeyFile == "" {
-		c.addf("peer.datagram_key_file", "required when peer.tls is set: specify a file with 64 hex digits")
+		v.addf("peer.datagram_key_file", "required when peer.tls is set: specify a file with 64 hex digits")
 	}
 	if !strings.HasPrefix(s.Platform.Address, "http://") && !strings.HasPrefix(s.Platform.Address, "https://") {
-		c.addf("platform.address", "%q must be an http or https URL", s.Platform.Address)
+		v.addf("platform.address", "%q must be an http or https URL", s.Platform.Address)
 	}
 	if s.Platform.Kind != PlatformDocuments && s.Platform.Kind != PlatformStore {
-		c.addf("platform.kind", "%q must be %s or %s", s.Platform.Kind, PlatformDocuments, PlatformStore)
+		v.addf("platform.kind", "%q must be %s or %s", s.Platform.Kind, PlatformDocuments, PlatformStore)
 	}
 	if s.Caller.MaxHeaderBytes < 1<<10 || s.Caller.MaxHeaderBytes > 1<<20 {
-		c.addf("caller.max_header_bytes", "%d is outside 1024 to 1048576", s.Caller.MaxHeaderBytes)
+		v.addf("caller.max_header_bytes", "%d is outside 1024 to 1048576", s.Caller.MaxHeaderBytes)
 	}
 	for _, m := range s.Policy.Without {
 		if !slices.Contains(policy.Mechanisms(), m) {
-			c.addf("policy.without", "unknown mechanism %q, valid mechanisms are %v", m, policy.Mechanisms())
+			v.addf("policy.without", "unknown mechanism %q, valid mechanisms are %v", m, policy.Mechanisms())
 		}
 	}
 	if s.Retry.FleetShare < 0 || s.Retry.FleetShare > 1 {
-		c.addf("retry.fleet_share", "%g is outside 0 to 1", s.Retry.FleetShare)
+		v.addf("retry.fleet_share", "%g is outside 0 to 1", s.Retry.FleetShare)
 	}
 	if s.Retry.FleetReserve < 0 {
-		c.addf("retry.fleet_reserve", "%g is negative", s.Retry.FleetReserve)
+		v.addf("retry.fleet_reserve", "%g is negative", s.Retry.FleetReserve)
 	}
 	if s.Backend.BufferBytes < 0 || s.Backend.BufferBytes > MaxBufferBytes {
-		c.addf("backend.buffer_bytes", "%d is outside 0 to %d", s.Backend.BufferBytes, MaxBufferBytes)
+		v.addf("backend.buffer_bytes", "%d is outside 0 to %d", s.Backend.BufferBytes, MaxBufferBytes)
 	}
-	c.timing(s)
+	v.timing(s)
 }
 
-func (c *validator) identifier(field, value string) {
+func (v *validator) identifier(field, value string) {
 	if value == "" || strings.ContainsAny(value, "/ \t\n") {
-		c.addf(field, "%q must be non-empty and contain no slash or whitespace", value)
+		v.addf(field, "%q must be non-empty and contain no slash or whitespace", value)
 	}
 }
 
-func (c *validator) addresses(s *Settings) {
+func (v *validator) addresses(s *Settings) {
 	listeners := []struct{ field, address string }{
 		{"caller.listen", s.Caller.Listen},
 		{"peer.listen", s.Peer.Listen},
@@ -389,49 +389,49 @@
 	}
 	seen := make(map[string]string)
 	for _, l := range listeners {
-		c.address(l.field, l.address)
+		v.address(l.field, l.address)
 		parsed, err := netip.ParseAddrPort(l.address)
 		if err != nil || parsed.Port() == 0 {
 			continue
 		}
 		if other, ok := seen[l.address]; ok {
-			c.addf(l.field, "%q is already the address of %s: each listener requires its own address", l.address, other)
+			v.addf(l.field, "%q is already the address of %s: each listener requires its own address", l.address, other)
 		}
 		seen[l.address] = l.field
 	}
-	c.address("peer.advertise", s.Peer.Advertise)
+	v.address("peer.advertise", s.Peer.Advertise)
 	if s.Caller.ReadyListen != "" {
-		c.address("caller.ready_listen", s.Caller.ReadyListen)
+		v.address("caller.ready_listen", s.Caller.ReadyListen)
 	}
 	for _, seed := range s.Peer.Seeds {
-		c.address("peer.seeds", seed)
+		v.address("peer.seeds", seed)
 	}
 }
 
 // forwarding rejects owner hosts on a platform whose requests need attempt
 // numbers and header names that the owner protocol does not carry.
-func (c *validator) forwarding(s *Settings) {
+func (v *validator) forwarding(s *Settings) {
 	if s.Platform.Kind == PlatformStore && *s.Forwarding {
-		c.addf("forwarding", "must be false with platform.kind: %s: owner hosts do not support that platform's protocol", PlatformStore)
+		v.addf("forwarding", "must be false with platform.kind: %s: owner hosts do not support that platform's protocol", PlatformStore)
 	}
 }
 
-func (c *validator) address(field, address string) {
+func (v *validator) address(field, address string) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		c.addf(field, "%q must be IP:port", address)
+		v.addf(field, "%q must be IP:port", address)
 	}
 }
 
-func (c *validator) requireTLS(field string, keys TLS, insecure bool) {
+func (v *validator) requireTLS(field string, keys TLS, insecure bool) {
 	switch {
 	case !keys.Enabled() && !insecure:
-		c.addf(field+".tls", "cert_file, key_file and ca_file are required unless %s.insecure: true permits plaintext", field)
+		v.addf(field+".tls", "cert_file, key_file and ca_file are required unless %s.insecure: true permits plaintext", field)
 	case keys.Enabled() && (keys.KeyFile == "" || keys.CAFile == ""):
-		c.addf(field+".tls", "key_file and ca_file are required with cert_file")
+		v.addf(field+".tls", "key_file and ca_file are required with cert_file")
 	}
 }
 
-func (c *validator) timing(s *Settings) {
+func (v *validator) timing(s *Settings) {
 	ranges := []struct {
 		field     string
 		value     config.Duration
@@ -457,13 +457,13 @@
 	for _, r := range ranges {
 		value := time.Duration(r.value)
 		if value < r.low || value > r.high {
-			c.addf(r.field, "%s is outside %s to %s", value, r.low, r.high)
+			v.addf(r.field, "%s is outside %s to %s", value, r.low, r.high)
 		}
 	}
 	if 2*s.Timing.ClaimTimeout > s.Timing.ClaimHorizon {
-		c.addf("timing.claim_timeout", "%s must be at most half of timing.claim_horizon", time.Duration(s.Timing.ClaimTimeout))
+		v.addf("timing.claim_timeout", "%s must be at most half of timing.claim_horizon", time.Duration(s.Timing.ClaimTimeout))
 	}
 	if s.Timing.ProbeTimeout >= s.Timing.ProbeInterval {
-		c.addf("timing.probe_timeout", "%s must be shorter than timing.probe_interval", time.Duration(s.Timing.ProbeTimeout))
+		v.addf("timing.probe_timeout", "%s must be shorter than timing.probe_interval", time.Duration(s.Timing.ProbeTimeout))
 	}
 }
