--- a/internal/config/customers.go
+++ b/internal/config/customers.go
@@ -8,27 +8,30 @@
 	"github.com/pearshelf/pearshelf/internal/region"
 )
 
-// Customer is one customer of the fleet. Where any document has customers, every
-// request needs a key of one of them, unless its route is public.
+// Customer is one customer of the fleet. If any document defines customers,
+// every request requires a customer key unless its route is public.
 type Customer struct {
-	// Name is unique over all documents; backend servers are told it.
+	// Name is unique across all documents and is passed to backend servers.
 	Name string `yaml:"name" json:"name,omitempty"`
-	// KeyDigests are the digests of its keys, as pearshelf key-digest prints them. No
-	// two customers may hold the same key.
+	// KeyDigests are the digests of the customer's keys, as printed by
+	// pearshelf key-digest. Two customers cannot share a key.
 	KeyDigests []string `yaml:"key_digests" json:"key_digests,omitempty"`
-	// Priority goes before that of the route, 0 the highest. Default: the route's.
+	// Priority overrides the route's priority; 0 is the highest. Default: the
+	// route's.
 	Priority *int `yaml:"priority" json:"priority,omitempty"`
-	// PerSecond is the sustained rate over all hosts together, in requests a second.
-	// Default: 0, no limit.
+	// PerSecond is the sustained rate limit over all hosts together, in requests
+	// per second. Default: 0, no limit.
 	PerSecond float64 `yaml:"per_second" json:"per_second,omitempty"`
-	// Burst is how many requests may come at once beyond that. Default: 0.
+	// Burst is the number of requests allowed in a burst above that rate.
+	// Default: 0.
 	Burst float64 `yaml:"burst" json:"burst,omitempty"`
-	// HomeRegions are the only regions in which its requests may be run. Default: none, and
-	// they may be run anywhere.
+	// HomeRegions are the only regions in which the customer's requests may be
+	// executed. Default: none, no restriction.
 	HomeRegions []string `yaml:"home_regions" json:"home_regions,omitempty"`
 }
 
-// Entry returns the customer's row. The document must have passed its checks.
+// Entry converts c to an entry of the customer table. The document must have
+// been validated.
 func (c *Customer) Entry() customer.Entry {
 	entry := customer.Entry{Customer: customer.Customer{
 		Name:     c.Name,
@@ -44,35 +47,36 @@
 	return entry
 }
 
-func (c *checker) customers(customers []Customer) {
+func (v *validator) customers(customers []Customer) {
 	names := make(map[string]bool)
-	holders := make(map[string]string) // customer's name by digest
+	customerByDigest := make(map[string]string) // customer name by key digest
 	for i := range customers {
-		one := &customers[i]
-		at := fmt.Sprintf("customers[%d]", i)
-		c.name(at+".name", one.Name, names)
-		c.rate(at+".per_second", one.PerSecond)
-		c.rate(at+".burst", one.Burst)
-		for k, text := range one.KeyDigests {
-			c.keyDigest(fmt.Sprintf("%s.key_digests[%d]", at, k), text, one.Name, holders)
+		entry := &customers[i]
+		path := fmt.Sprintf("customers[%d]", i)
+		v.name(path+".name", entry.Name, names)
+		v.rate(path+".per_second", entry.PerSecond)
+		v.rate(path+".burst", entry.Burst)
+		for k, text := range entry.KeyDigests {
+			v.keyDigest(fmt.Sprintf("%s.key_digests[%d]", path, k), text, entry.Name, customerByDigest)
 		}
 	}
 }
 
-func (c *checker) rate(at string, value float64) {
+func (v *validator) rate(path string, value float64) {
 	if value < 0 || math.IsInf(value, 0) || math.IsNaN(value) {
-		c.addf("%s: %g must be a number from 0 on", at, value)
+		v.addf("%s: %g must be a finite, non-negative number", path, value)
 	}
 }
 
-// keyDigest checks one digest. It names customers, never digests.
-func (c *checker) keyDigest(at, text, name string, holders map[string]string) {
+// keyDigest validates one digest. Its errors name customers but never contain
+// the text, which may be a plain key.
+func (v *validator) keyDigest(path, text, name string, customerByDigest map[string]string) {
 	if _, err := customer.ParseDigest(text); err != nil {
-		c.addf("%s: is no digest of a key; pearshelf key-digest prints one", at)
+		v.addf("%s: invalid key digest; use pearshelf key-digest to create one", path)
 		return
 	}
-	if holder, held := holders[text]; held && holder != name {
-		c.addf("%s: customer %q holds the same key", at, holder)
+	if owner, assigned := customerByDigest[text]; assigned && owner != name {
+		v.addf("%s: key is already assigned to customer %q", path, owner)
 	}
-	holders[text] = name
+	customerByDigest[text] = name
 }
