--- a/cmd/pearshelfd/main.go
+++ b/cmd/pearshelfd/main.go
@@ -41,7 +41,7 @@
 		kong.Vars{"version": version.String()},
 	)
 	lines := logging.NewWriter(os.Stdout)
-	if err := logging.Use(lines, f.Verbose); err != nil {
+	if err := logging.SetKlogOutput(lines, f.Verbose); err != nil {
 		fmt.Fprintln(os.Stderr, "pearshelfd: verbosity not set:", err)
 	}
 	err := run(f, lines)
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	d.Metrics().WatchLog(lines.Dropped)
+	d.Metrics().RegisterDroppedLogLines(lines.Dropped)
 	reloadOnHangup(f.Settings)
 	if err := d.Start(); err != nil {
 		return err
@@ -81,7 +81,7 @@
 func newDaemon(s *settings.Settings) (*daemon.Daemon, error) {
 	if s.Platform.Kind == settings.PlatformStore {
 		adapter := daemon.Adapter{Source: platform.NewSource(s.Platform.Address), Protocol: platform.Protocol()}
-		return daemon.NewAdapted(s, daemon.Hooks{}, adapter)
+		return daemon.NewWithAdapter(s, daemon.Hooks{}, adapter)
 	}
 	return daemon.New(s, daemon.Hooks{})
 }
--- a/e2e/detection_test.go
+++ b/e2e/detection_test.go
@@ -57,7 +57,7 @@
 		}, patience).Should(BeTrue())
 		for _, id := range []string{"b1", "b3", "b4", "b5"} {
 			for _, d := range f.Hosts {
-				for _, e := range d.Events().Since(world.Beginning) {
+				for _, e := range d.Events().Since(world.UnixEpoch) {
 					Expect(e.Number == event.BackendEjected && e.Backend == id).To(BeFalse(), "%s ejected by mistake", id)
 				}
 			}
--- a/experiment/demo/demo.go
+++ b/experiment/demo/demo.go
@@ -250,7 +250,7 @@
 func (r *runner) falseEjections() int {
 	wrong := make(map[string]bool)
 	for _, d := range r.fleet.Hosts {
-		for _, e := range d.Events().Since(world.Beginning) {
+		for _, e := range d.Events().Since(world.UnixEpoch) {
 			guilty := e.Service == r.conf.Deployment.Victim && e.Backend == victimID
 			if e.Number == event.BackendEjected && !guilty {
 				wrong[e.Service+"/"+e.Backend] = true
--- a/experiment/detection/detection.go
+++ b/experiment/detection/detection.go
@@ -236,10 +236,10 @@
 
 // deliver hands what a host wants sent to the others, for their next tick.
 func (r *run) deliver(o *owner, sinceFault time.Duration) {
-	out := o.w.Out.Take()
+	out := o.w.Outbox.Take()
 	for _, report := range out.Evidence {
 		for _, to := range report.To {
-			r.post(to, func(other *owner, now time.Time) { other.system.Report(other.w, now, report.Evidence) })
+			r.post(to, func(other *owner, now time.Time) { other.system.AddReport(other.w, now, report.Evidence) })
 		}
 	}
 	for _, u := range out.Urgent {
--- a/experiment/loops/loops.go
+++ b/experiment/loops/loops.go
@@ -96,7 +96,7 @@
 	f.documents[key] = doc
 	for _, h := range f.hosts {
 		if h.Running() && h.reading && !h.TurnedAway {
-			h.in(storeDelay, h.life, func(now time.Time) { h.engine.Document(now, key, doc.revision, doc.raw) })
+			h.in(storeDelay, h.life, func(now time.Time) { h.engine.HandleDocument(now, key, doc.revision, doc.raw) })
 		}
 	}
 	return doc.revision
@@ -217,14 +217,14 @@
 		known = append(known, other.address())
 	}
 	h.engine = engine.New(engine.Config{
-		Self:         self,
-		Tick:         settings.DefaultTick,
-		Freshness:    settings.DefaultFreshness,
-		Seeds:        known,
-		Documents:    []string{world.KeyPublished, world.KeyDiscovered},
-		DirectAfter:  time.Millisecond,
-		DirectSpread: 200 * time.Millisecond,
-		Seed:         seed,
+		Self:              self,
+		Tick:              settings.DefaultTick,
+		Freshness:         settings.DefaultFreshness,
+		Seeds:             known,
+		RequiredDocuments: []string{world.KeyPublished, world.KeyDiscovered},
+		DirectAfter:       time.Millisecond,
+		DirectSpread:      200 * time.Millisecond,
+		Seed:              seed,
 		Membership: membership.Config{
 			Host:           self.Host,
 			Address:        self.Address,
@@ -325,7 +325,7 @@
 	}
 	h.in(delay, e.life, func(now time.Time) {
 		if doc, ok := h.fleet.documents[f.Key]; ok && f.After < doc.revision {
-			h.engine.Document(now, f.Key, doc.revision, doc.raw)
+			h.engine.HandleDocument(now, f.Key, doc.revision, doc.raw)
 		}
 	})
 }
@@ -343,19 +343,19 @@
 		ended = true
 		switch {
 		case resp != nil && resp.Revision > f.After:
-			raw, err := configsync.Content(resp)
+			raw, err := configsync.DecodeContent(resp)
 			if err != nil {
 				panic(err) // a fault of the program
 			}
-			h.engine.Document(now, f.Key, resp.Revision, raw)
+			h.engine.HandleDocument(now, f.Key, resp.Revision, raw)
 		case len(f.Peers) > 1:
 			f.Peers = f.Peers[1:]
 			e.askDocument(f)
 		default:
-			h.engine.FetchedNothing(now, f.Key)
+			h.engine.FetchFailed(now, f.Key)
 		}
 	}
-	h.in(configsync.TimeoutOf(f), e.life, func(now time.Time) { end(now, nil) })
+	h.in(configsync.FetchTimeout(f), e.life, func(now time.Time) { end(now, nil) })
 	req := &peerpb.DocumentRequest{Key: f.Key, After: f.After}
 	h.reach(f.Peers[0], func(to *Host, now time.Time) {
 		to.answerDocument(now, req, now.Add(configsync.DocumentWait), func(resp *peerpb.DocumentResponse) {
@@ -372,7 +372,7 @@
 		panic(err) // a fault of the program
 	}
 	if coming && now.Before(until) {
-		h.in(configsync.DocumentRecheck, h.life, func(now time.Time) { h.answerDocument(now, req, until, answer) })
+		h.in(configsync.DocumentPollInterval, h.life, func(now time.Time) { h.answerDocument(now, req, until, answer) })
 		return
 	}
 	answer(resp)
@@ -394,7 +394,7 @@
 			e.ask(address, state, func(*peerpb.SyncResponse, time.Time) {})
 		}
 		h.engine.Merge(now, resp.Members, resp.Registers, resp.Clock)
-		h.engine.Synced()
+		h.engine.MarkSynced()
 	})
 }
 
@@ -412,8 +412,8 @@
 	})
 }
 
-// Reading answers the watch of a reader, as a quiet platform does each second.
-func (e *effects) Reading(reader bool) {
+// SetReading answers the watch of a reader, as a quiet platform does each second.
+func (e *effects) SetReading(reader bool) {
 	h := e.host
 	if reader && !h.reading { // a new watch brings what is newer
 		for _, key := range []string{world.KeyPublished, world.KeyDiscovered} {
--- a/experiment/quotas/quotas.go
+++ b/experiment/quotas/quotas.go
@@ -383,7 +383,7 @@
 	h.size = max(h.size, len(fleet.Homes))
 	fleet.Version = h.version
 	fleet.Live = func(name string) bool { return live[name] }
-	fleet.Size = h.size
+	fleet.PeakSize = h.size
 	fleet.Settled = now-h.started >= settledIn
 	h.table.SetFleet(h.fleet.clock.Time(), fleet)
 }
@@ -420,7 +420,7 @@
 
 // flush sends what the table has to tell.
 func (h *host) flush() {
-	for _, m := range h.table.Messages() {
+	for _, m := range h.table.TakeMessages() {
 		for _, other := range h.fleet.hosts {
 			if other.name == m.To {
 				h.deliver(other, m)
--- a/experiment/replay/guard.go
+++ b/experiment/replay/guard.go
@@ -42,7 +42,7 @@
 	if held == nil {
 		return false, false
 	}
-	tries, asked := g.table.Trial(g.host.fleet.clock.Time(), held)
+	tries, asked := g.table.RequestTrial(g.host.fleet.clock.Time(), held)
 	g.flush()
 	return !tries, asked
 }
@@ -53,13 +53,13 @@
 		return
 	}
 	now := g.host.fleet.clock.Time()
-	g.table.Ended(now, id, quarantine.End{Service: service, Server: server, At: now})
+	g.table.RecordCrash(now, id, quarantine.Crash{Service: service, Server: server, At: now})
 	g.flush()
 }
 
 // served takes that a server has answered a request.
 func (g *guard) served(id content.ID) {
-	g.table.Served(g.host.fleet.clock.Time(), id)
+	g.table.RecordAnswer(g.host.fleet.clock.Time(), id)
 	g.flush()
 }
 
@@ -68,7 +68,7 @@
 func (g *guard) flush() {
 	for _, m := range g.table.Messages() {
 		to := g.host.fleet.byName[m.To]
-		datagram := &peerpb.Datagram{From: g.host.name, Ends: m.Ends, Served: m.Served, TrialAsks: m.Asks, TrialGrants: m.Grants, AnsweredBefore: m.Answered}
+		datagram := &peerpb.Datagram{From: g.host.name, Ends: m.Ends, Served: m.Served, TrialAsks: m.TrialRequests, TrialGrants: m.GrantedTrials, AnsweredBefore: m.Answered}
 		g.host.deliver(to, func() { to.guard.receive(datagram) })
 	}
 	for _, decision := range g.table.Decisions() {
@@ -132,7 +132,7 @@
 	return fmt.Sprint(route.Name, " ", f.random.IntN(contents)), false
 }
 
-func contentID(name string) content.ID { return content.Of(content.Request{Target: name}) }
+func contentID(name string) content.ID { return content.NewID(content.Request{Target: name}) }
 
 // EndedServers is what requests that end servers did.
 type EndedServers struct {
--- a/experiment/replay/host.go
+++ b/experiment/replay/host.go
@@ -86,8 +86,8 @@
 	h.fleet.clock.After(tellAfter, func() {
 		h.telling = false
 		near, failing := h.table.Changes(h.fleet.clock.Time())
-		h.sendAll(h.sharing.Near(near, h.fleet.sharedService))
-		h.sendAll(h.sharing.Far(failing, h.fleet.sharedService))
+		h.sendAll(h.sharing.Local(near, h.fleet.sharedService))
+		h.sendAll(h.sharing.Remote(failing, h.fleet.sharedService))
 	})
 }
 
@@ -101,7 +101,7 @@
 
 // send delivers a message after its way, unless it is lost.
 func (h *host) send(other *host, m sharing.Message) {
-	h.deliver(other, func() { other.table.Report(h.fleet.clock.Time(), h.name, 1, m.Loads, m.Near) })
+	h.deliver(other, func() { other.table.Report(h.fleet.clock.Time(), h.name, 1, m.Loads, m.Local) })
 }
 
 // deliver does something at another host after a message's way, unless it is lost.
@@ -125,7 +125,7 @@
 	if h.table.Refresh(h.fleet.clock.Time()) {
 		h.tell()
 	}
-	h.fleet.clock.After(policy.RefreshEvery, h.refresh)
+	h.fleet.clock.After(policy.RefreshInterval, h.refresh)
 }
 
 // serve takes a request from a caller.
--- a/experiment/replay/ratelimit.go
+++ b/experiment/replay/ratelimit.go
@@ -65,7 +65,7 @@
 // join tells the table of all hosts, and of what a cut changes.
 func (l *limits) join() {
 	l.host.watchFleet(func(v fleetView) {
-		fleet := quota.Fleet{Version: v.version, Size: len(l.host.fleet.hosts), Settled: true, Homes: v.homes}
+		fleet := quota.Fleet{Version: v.version, PeakSize: len(l.host.fleet.hosts), Settled: true, Homes: v.homes}
 		fleet.Live = func(name string) bool { return v.live[name] }
 		l.table.SetFleet(l.host.fleet.clock.Time(), fleet)
 	})
@@ -77,7 +77,7 @@
 	if l.way == LimitsNotKept {
 		return
 	}
-	report, isNew := l.listener.Hear(f.clock.Time(), l.view, server, f.timeAt(sentAt), said)
+	report, isNew := l.listener.Observe(f.clock.Time(), l.view, server, f.timeAt(sentAt), said)
 	if !isNew {
 		return
 	}
@@ -121,7 +121,7 @@
 	p.at = now
 	if p.tokens < 1 {
 		wait := time.Duration((1 - p.tokens) / rate * float64(time.Second))
-		return quota.Verdict{RetryAfter: wait, AskAgain: wait}
+		return quota.Verdict{RetryAfter: wait, Backoff: wait}
 	}
 	p.tokens--
 	return quota.Verdict{OK: true}
@@ -134,7 +134,7 @@
 		nodes = append(nodes, rendezvous.NewNode(h.name, ""))
 	}
 	if !slices.Contains(rendezvous.Top(limit.Server.ID, nodes, holders), l.host.name) {
-		return quota.Verdict{RetryAfter: time.Second, AskAgain: time.Minute}
+		return quota.Verdict{RetryAfter: time.Second, Backoff: time.Minute}
 	}
 	return l.takePart(now, limit, holders)
 }
@@ -145,12 +145,12 @@
 	for i := range view.Backends {
 		names = append(names, view.Backends[i].ID)
 	}
-	return l.table.Promise(l.host.fleet.clock.Time(), names)
+	return l.table.ReserveRetry(l.host.fleet.clock.Time(), names)
 }
 
 // flush sends what the table has to tell.
 func (l *limits) flush() {
-	for _, m := range l.table.Messages() {
+	for _, m := range l.table.TakeMessages() {
 		to := l.host.fleet.byName[m.To]
 		l.host.deliver(to, func() { to.limits.receive(l.host.name, m) })
 	}
--- a/experiment/replay/replay_test.go
+++ b/experiment/replay/replay_test.go
@@ -95,7 +95,7 @@
 func TestStandingQueue(t *testing.T) {
 	t.Parallel()
 	with, _ := playOver(t, overloadSeeds, "overload")
-	without, _ := playOver(t, overloadSeeds, "overload", policy.MechanismStanding)
+	without, _ := playOver(t, overloadSeeds, "overload", policy.MechanismStandingQueue)
 	if with.Goodput() < 1.02*without.Goodput() || with.Unserved() > 1.05*without.Unserved() {
 		t.Errorf("overload: goodput %.3f and %.3f unserved, without refusing %.3f and %.3f",
 			with.Goodput(), with.Unserved(), without.Goodput(), without.Unserved())
@@ -104,7 +104,7 @@
 		t.Errorf("overload: requests held in vain for %s, without refusing %s", with.HeldInVain, without.HeldInVain)
 	}
 	with, _ = playOver(t, overloadSeeds, "spikes")
-	without, _ = playOver(t, overloadSeeds, "spikes", policy.MechanismStanding)
+	without, _ = playOver(t, overloadSeeds, "spikes", policy.MechanismStandingQueue)
 	if with.Goodput() < 0.99*without.Goodput() || with.Unserved() > 1.1*without.Unserved() {
 		t.Errorf("spikes: goodput %.3f and %.3f unserved, without refusing %.3f and %.3f",
 			with.Goodput(), with.Unserved(), without.Goodput(), without.Unserved())
@@ -133,9 +133,9 @@
 	t.Parallel()
 	with, _ := play(t, "hangs")
 	for mechanism, atLeast := range map[policy.Mechanism]float64{
-		policy.MechanismSpells:   2,
-		policy.MechanismOutcomes: 1.4,
-		policy.MechanismLoads:    1.4,
+		policy.MechanismFailureModel:   2,
+		policy.MechanismSharedOutcomes: 1.4,
+		policy.MechanismSharedLoads:    1.4,
 	} {
 		without, _ := play(t, "hangs", mechanism)
 		if without.Unserved() < atLeast*with.Unserved() {
--- a/experiment/replay/request.go
+++ b/experiment/replay/request.go
@@ -92,19 +92,19 @@
 	f := r.host.fleet
 	waiting := len(r.flights)
 	return policy.Request{
-		Service:    r.route.Service,
-		Idempotent: r.route.Idempotent,
-		DataCentre: dataCentreName(r.host.dataCentre),
-		Objective:  time.Duration(r.route.Objective),
-		Group:      r.route.Name,
-		First:      r.arrived == 0 && waiting == 0,
-		Repeat:     r.arrived > 0 || waiting > 0,
-		Last:       r.ran+waiting+1 >= r.attempts(),
-		Fleet:      policy.Fleet{Near: r.host.sharing.SegmentSize(), All: f.pattern.Hosts},
-		Exclude:    r.tried,
-		Priority:   r.route.Priority,
-		Asked:      simtime.Epoch.Add(r.asked),
-		Deadline:   simtime.Epoch.Add(r.deadline()),
+		Service:      r.route.Service,
+		Idempotent:   r.route.Idempotent,
+		DataCentre:   dataCentreName(r.host.dataCentre),
+		Objective:    time.Duration(r.route.Objective),
+		Group:        r.route.Name,
+		FirstAttempt: r.arrived == 0 && waiting == 0,
+		Retry:        r.arrived > 0 || waiting > 0,
+		LastAttempt:  r.ran+waiting+1 >= r.attempts(),
+		Fleet:        policy.Fleet{LocalHosts: r.host.sharing.SegmentSize(), MaxHosts: f.pattern.Hosts},
+		Exclude:      r.tried,
+		Priority:     r.route.Priority,
+		ReceivedAt:   simtime.Epoch.Add(r.asked),
+		Deadline:     simtime.Epoch.Add(r.deadline()),
 
 		Availability: r.host.servers.Now(),
 		RateLimits:   r.host.limits.view,
@@ -152,9 +152,9 @@
 		r.begin(placement)
 		return
 	case verdict.OK:
-		r.host.limits.table.Return(r.host.fleet.clock.Time(), server.ID)
+		r.host.limits.table.ReturnToken(r.host.fleet.clock.Time(), server.ID)
 	default:
-		r.host.servers.NoteNoRoom(server, verdict.AskAgain)
+		r.host.servers.MarkRateLimited(server, verdict.Backoff)
 	}
 	r.finishUnsent(placement)
 	r.asks++
@@ -163,7 +163,7 @@
 	case r.asks < mostAsked:
 		r.place()
 	default:
-		r.refuse(errs.KindNoRoom)
+		r.refuse(errs.KindServerRateLimit)
 	}
 }
 
@@ -174,9 +174,9 @@
 	}
 	req := r.policyRequest()
 	req.Exclude = append(slices.Clone(r.tried), first.placement.Server.ID)
-	req.Beside = true
-	req.FirstBelief = first.placement.Belief
-	if placement, ok := r.host.table.Trial(r.host.fleet.clock.Time(), r.host.views[r.route.Service], req); ok {
+	req.Parallel = true
+	req.FirstServerBelief = first.placement.Belief
+	if placement, ok := r.host.table.PlaceTrial(r.host.fleet.clock.Time(), r.host.views[r.route.Service], req); ok {
 		r.copies++
 		r.send(placement)
 	}
@@ -185,8 +185,8 @@
 // keepTrial lets a trial go on without its request, up to its time.
 func (fl *flight) keepTrial() bool {
 	f := fl.request.host.fleet
-	left := fl.sent + fl.placement.TrialFor - f.clock.Now
-	if fl.placement.TrialFor == 0 || left <= 0 {
+	left := fl.sent + fl.placement.TrialTimeout - f.clock.Now
+	if fl.placement.TrialTimeout == 0 || left <= 0 {
 		return false
 	}
 	fl.letGo = true
@@ -194,7 +194,7 @@
 		if fl.letGo {
 			fl.letGo = false
 			fl.server.cancel(fl.job)
-			fl.request.finish(fl, policy.Done{Outcome: policy.Abandoned, Took: f.clock.Now - fl.sent})
+			fl.request.finish(fl, policy.Result{Outcome: policy.Abandoned, Elapsed: f.clock.Now - fl.sent})
 		}
 	})
 	return true
@@ -232,9 +232,9 @@
 	view := r.host.views[r.route.Service]
 	req := r.policyRequest()
 	req.Exclude = append(slices.Clone(r.tried), first.placement.Server.ID)
-	req.Beside = true
-	req.FirstBelief = first.placement.Belief
-	copyNow, after := r.host.table.Review(f.clock.Time(), view, req, first.placement)
+	req.Parallel = true
+	req.FirstServerBelief = first.placement.Belief
+	copyNow, after := r.host.table.ReviewCopy(f.clock.Time(), view, req, first.placement)
 	switch {
 	case copyNow:
 		if placement, err := r.host.table.Pick(f.clock.Time(), view, req); err == nil {
@@ -252,13 +252,13 @@
 	took := f.clock.Now - fl.sent
 	result, load := a.reply, a.said.Load
 	server := availability.ServerOf(r.route.Service, &fl.placement.Server)
-	fl.from.servers.Learn(server, a.said)
+	fl.from.servers.Record(server, a.said)
 	fl.from.limits.hear(server, fl.sent, a.said.Limit)
 	f.said.answered(f.clock.Now, fl.from.name, fl.server.id, a.said)
 	f.limits.answered(f.clock.Now, fl.from.name, fl.server, a.said.Limit)
 	if fl.letGo {
 		fl.letGo = false
-		r.finish(fl, policy.Done{Outcome: outcomeOf(result), FirstByte: took, Load: load})
+		r.finish(fl, policy.Result{Outcome: outcomeOf(result), FirstByte: took, Load: load})
 		return
 	}
 	i := slices.Index(r.flights, fl)
@@ -268,7 +268,7 @@
 	r.flights = slices.Delete(r.flights, i, i+1)
 	if result == replyUnreachable {
 		r.tried = append(r.tried, fl.server.id)
-		r.finish(fl, policy.Done{Outcome: policy.Unreachable, Unsent: true})
+		r.finish(fl, policy.Result{Outcome: policy.Unreachable, Unsent: true})
 		r.place()
 		return
 	}
@@ -276,23 +276,23 @@
 	switch result {
 	case replyGood:
 		r.ran++
-		r.finish(fl, policy.Done{Outcome: policy.Good, FirstByte: took, Load: load})
+		r.finish(fl, policy.Result{Outcome: policy.Good, FirstByte: took, Load: load})
 		r.host.guard.served(contentID(r.content))
 		r.end(served)
 	case replyBroken:
 		r.ran++
 		r.tried = append(r.tried, fl.server.id)
-		r.finish(fl, policy.Done{Outcome: policy.Failed, Took: took})
+		r.finish(fl, policy.Result{Outcome: policy.Failed, Elapsed: took})
 		r.host.guard.ended(contentID(r.content), r.route.Service, fl.server.id)
 		r.again(failed)
 	case replyError:
 		r.ran++
 		r.tried = append(r.tried, fl.server.id)
-		r.finish(fl, policy.Done{Outcome: policy.Failed, FirstByte: took, Load: load})
+		r.finish(fl, policy.Result{Outcome: policy.Failed, FirstByte: took, Load: load})
 		r.again(failed)
 	case replyShed:
 		r.tried = append(r.tried, fl.server.id)
-		r.finish(fl, policy.Done{Outcome: policy.Shed, Load: load})
+		r.finish(fl, policy.Result{Outcome: policy.Shed, Load: load})
 		r.again(refused)
 	}
 }
@@ -333,7 +333,7 @@
 	}
 	for _, fl := range r.flights {
 		fl.server.cancel(fl.job)
-		r.finish(fl, policy.Done{Outcome: policy.Failed, TimedOut: true, Took: r.host.fleet.clock.Now - fl.sent})
+		r.finish(fl, policy.Result{Outcome: policy.Failed, TimedOut: true, Elapsed: r.host.fleet.clock.Now - fl.sent})
 	}
 	r.flights = nil
 	r.end(failed)
@@ -358,12 +358,12 @@
 // retryAfter is when the refused caller should come back.
 func (r *request) retryAfter() time.Duration {
 	req := r.policyRequest()
-	absence, none := req.Availability.AbsenceOf(req.Service, r.host.views[req.Service].Backends)
+	absence, none := req.Availability.UnavailabilityOf(req.Service, r.host.views[req.Service].Backends)
 	switch {
 	case none && absence.Reason == availability.Resting:
-		return absence.Left
-	case none && absence.Reason == availability.NoRoom:
-		return max(absence.Left, r.host.limits.promise(r.host.views[req.Service]))
+		return absence.Remaining
+	case none && absence.Reason == availability.RateLimited:
+		return max(absence.Remaining, r.host.limits.promise(r.host.views[req.Service]))
 	}
 	return r.host.table.RetryAfter(req.Service)
 }
@@ -386,17 +386,17 @@
 			continue
 		}
 		fl.server.cancel(fl.job)
-		r.finish(fl, policy.Done{Outcome: policy.Abandoned, Took: r.host.fleet.clock.Now - fl.sent})
+		r.finish(fl, policy.Result{Outcome: policy.Abandoned, Elapsed: r.host.fleet.clock.Now - fl.sent})
 	}
 	r.flights = nil
 	r.host.fleet.result.note(r, o)
 }
 
 func (r *request) finishUnsent(placement *policy.Placement) {
-	r.host.table.Finish(r.host.fleet.clock.Time(), placement, policy.Done{Outcome: policy.Neutral, Unsent: true})
+	r.host.table.Finish(r.host.fleet.clock.Time(), placement, policy.Result{Outcome: policy.Neutral, Unsent: true})
 }
 
-func (r *request) finish(fl *flight, done policy.Done) {
+func (r *request) finish(fl *flight, done policy.Result) {
 	r.host.table.Finish(r.host.fleet.clock.Time(), fl.placement, done)
 	r.host.tell()
 }
--- a/experiment/replay/use_test.go
+++ b/experiment/replay/use_test.go
@@ -28,7 +28,7 @@
 func TestSoundServersAreUsedInTrouble(t *testing.T) {
 	t.Parallel()
 	pattern := expectUse(t, "troubled")
-	without := Run(pattern, Config{Seed: 1, Without: []policy.Mechanism{policy.MechanismTrouble, policy.MechanismBreadth}}).Use["post"]
+	without := Run(pattern, Config{Seed: 1, Without: []policy.Mechanism{policy.MechanismDegraded, policy.MechanismCoverage}}).Use["post"]
 	if without.Broken == 0 {
 		t.Errorf("the pattern shows nothing: without the mechanisms at worst %.2f are out of use", without.Worst)
 	}
--- a/experiment/scale/scale.go
+++ b/experiment/scale/scale.go
@@ -176,7 +176,7 @@
 func (discard) Probe(world.Probe)                  {}
 func (discard) SyncWith(string)                    {}
 func (discard) Event(event.Event)                  {}
-func (discard) Reading(bool)                       {}
+func (discard) SetReading(bool)                    {}
 func (discard) StopRequested()                     {}
 func (discard) Ticked(time.Duration, *world.World) {}
 
@@ -204,7 +204,7 @@
 	l.e.Merge(l.now, members, nil, 0)
 	for i := range shards {
 		if raw := shardText(i, services); len(raw) > len("services:\n") {
-			l.e.Document(l.now, shardKey(i), 1, raw)
+			l.e.HandleDocument(l.now, shardKey(i), 1, raw)
 		}
 	}
 	for range 50 {
@@ -254,7 +254,7 @@
 	revision := uint64(1)
 	return microseconds(func() {
 		revision++
-		l.e.Document(l.now, shardKey(0), revision, raw)
+		l.e.HandleDocument(l.now, shardKey(0), revision, raw)
 		l.step()
 	})
 }
@@ -316,7 +316,7 @@
 	n := 0
 	return microseconds(func() {
 		n++
-		table.Holder(customerKey(n*7919%customers, n%2))
+		table.ByKey(customerKey(n*7919%customers, n%2))
 	})
 }
 
@@ -333,7 +333,7 @@
 	n := 0
 	return microseconds(func() {
 		n++
-		rendezvous.Spread(fmt.Sprint("key-", n), nodes, claims.Claimants)
+		rendezvous.Spread(fmt.Sprint("key-", n), nodes, claims.MaxVoters)
 	})
 }
 
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -44,7 +44,7 @@
 
 // Limits tells what this host knows of limits, of customers or of backend servers.
 type Limits interface {
-	Limits() []quota.Row
+	Limits() []quota.CustomerStatus
 }
 
 // Parts are what a Server answers from.
--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -145,7 +145,7 @@
 	}
 	r := quarantine.Lift(id)
 	c.server.engine.Announce(c.now, r)
-	c.w.Record(c.now, event.ContentCleared, "", "", id.Label()+": lifted by "+c.actor)
+	c.w.Record(c.now, event.ContentCleared, "", "", id.Short()+": lifted by "+c.actor)
 	return &adminpb.QueryResponse{Ticket: ticketOf(r)}, nil
 }
 
--- a/internal/admin/show.go
+++ b/internal/admin/show.go
@@ -197,41 +197,41 @@
 }
 
 // listLimits shows the customers that this host serves, the busiest first.
-func listLimits(rows []quota.Row) table {
+func listLimits(rows []quota.CustomerStatus) table {
 	t := table{columns: []string{"customer", "per_second", "burst", "use", "part", "allowed", "refused", "home", "heard", "alone"}}
 	for _, row := range rows {
 		t.rows = append(t.rows, []string{
 			row.Customer,
 			strconv.FormatFloat(row.Limit.PerSecond, 'g', -1, 64), strconv.FormatFloat(row.Limit.Burst, 'g', -1, 64),
-			fmt.Sprintf("%.2f", row.Use), fmt.Sprintf("%.3f", row.Part),
+			fmt.Sprintf("%.2f", row.Rate), fmt.Sprintf("%.3f", row.Share),
 			strconv.FormatUint(row.Allowed, 10), strconv.FormatUint(row.Refused, 10),
-			row.Home, row.Heard.Round(time.Millisecond).String(), strconv.FormatBool(row.Unheard),
+			row.Home, row.SinceAnswer.Round(time.Millisecond).String(), strconv.FormatBool(row.HomeUnreachable),
 		})
 	}
 	return t
 }
 
 // listRateLimits shows the rate limits that servers name, and what this host has sent of them.
-func listRateLimits(w *world.World, now time.Time, rows []quota.Row) table {
+func listRateLimits(w *world.World, now time.Time, rows []quota.CustomerStatus) table {
 	t := table{columns: []string{"service", "backend", "per_second", "for", "heard_by", "sent", "withheld", "home", "alone"}}
 	for _, limit := range ratelimit.ViewOf(w.Registers).All() {
-		used := quota.Row{}
+		used := quota.CustomerStatus{}
 		name := limit.Server.Key().String()
-		if i := slices.IndexFunc(rows, func(r quota.Row) bool { return r.Customer == name }); i >= 0 {
+		if i := slices.IndexFunc(rows, func(r quota.CustomerStatus) bool { return r.Customer == name }); i >= 0 {
 			used = rows[i]
 		}
 		t.rows = append(t.rows, []string{
 			limit.Server.Service, limit.Server.ID, strconv.FormatFloat(limit.PerSecond, 'g', -1, 64),
-			now.Sub(limit.Since).Round(time.Second).String(), limit.HeardBy,
+			now.Sub(limit.Since).Round(time.Second).String(), limit.ReportedBy,
 			strconv.FormatUint(used.Allowed, 10), strconv.FormatUint(used.Refused, 10),
-			used.Home, strconv.FormatBool(used.Unheard),
+			used.Home, strconv.FormatBool(used.HomeUnreachable),
 		})
 	}
 	return t
 }
 
 // listAvailability shows the servers that get no requests from this host, as they report themselves.
-func listAvailability(moment availability.Moment) table {
+func listAvailability(moment availability.TableView) table {
 	t := table{columns: []string{"service", "backend", "state", "for", "said", "left"}}
 	for _, s := range moment.All() {
 		reason := s.ReasonAt(moment.Time())
@@ -239,12 +239,12 @@
 		switch reason {
 		case availability.Resting:
 			since, left = s.RestSince, s.RestUntil.Sub(moment.Time()).Round(time.Millisecond).String()
-		case availability.NoRoom:
-			since, left = s.NoRoomSince, s.NoRoomUntil.Sub(moment.Time()).Round(time.Millisecond).String()
+		case availability.RateLimited:
+			since, left = s.RateLimitedSince, s.RateLimitedUntil.Sub(moment.Time()).Round(time.Millisecond).String()
 		}
 		said := "nothing"
-		if !s.SaidAt.IsZero() {
-			said = moment.Time().Sub(s.SaidAt).Round(time.Millisecond).String() + " ago"
+		if !s.ReportedAt.IsZero() {
+			said = moment.Time().Sub(s.ReportedAt).Round(time.Millisecond).String() + " ago"
 		}
 		t.rows = append(t.rows, []string{
 			s.Server.Service, s.Server.ID, reason.String(),
--- a/internal/availability/availability.go
+++ b/internal/availability/availability.go
@@ -40,14 +40,14 @@
 	// RestSince and RestUntil are the bounds of the last rest it asked for, zero for none.
 	RestSince time.Time
 	RestUntil time.Time
-	// NoRoomSince and NoRoomUntil are the bounds of the time in which its rate limit is used
+	// RateLimitedSince and NoRoomUntil are the bounds of the time in which its rate limit is used
 	// up, as far as this host knows, zero for none.
-	NoRoomSince time.Time
-	NoRoomUntil time.Time
-	// SaidAt is the time of its last report of leaving or rest, and CheckedAt when it was last
+	RateLimitedSince time.Time
+	RateLimitedUntil time.Time
+	// ReportedAt is the time of its last report of leaving or rest, and CheckedAt when it was last
 	// asked whether it is still leaving.
-	SaidAt    time.Time
-	CheckedAt time.Time
+	ReportedAt time.Time
+	CheckedAt  time.Time
 }
 
 // Reason is why a server gets no requests.
@@ -59,8 +59,8 @@
 	// Returning: its rest is over, but it has not answered a request since. This host sends it
 	// one request at a time, to find out whether it has capacity for more.
 	Returning
-	// NoRoom: the requests of all hosts together have used up its rate limit.
-	NoRoom
+	// RateLimited: the requests of all hosts together have used up its rate limit.
+	RateLimited
 	Resting
 	Leaving
 )
@@ -84,8 +84,8 @@
 		return Leaving
 	case now.Before(s.RestUntil):
 		return Resting
-	case now.Before(s.NoRoomUntil):
-		return NoRoom
+	case now.Before(s.RateLimitedUntil):
+		return RateLimited
 	case now.Before(s.RestUntil.Add(returnPeriod)):
 		return Returning
 	default:
@@ -95,10 +95,10 @@
 
 // availableAt returns when a server that is not leaving takes requests again.
 func (s State) availableAt() time.Time {
-	if s.RestUntil.After(s.NoRoomUntil) {
+	if s.RestUntil.After(s.RateLimitedUntil) {
 		return s.RestUntil
 	}
-	return s.NoRoomUntil
+	return s.RateLimitedUntil
 }
 
 // Table holds what servers have reported to this host. It is safe for concurrent use.
@@ -131,8 +131,8 @@
 	Returned bool
 }
 
-// Learn records what a server reported in an answer that has just arrived.
-func (t *Table) Learn(server process.Server, reported protocol.ServerState) Change {
+// Record records what a server reported in an answer that has just arrived.
+func (t *Table) Record(server process.Server, reported protocol.ServerState) Change {
 	noReport := !reported.Leaving && reported.Rest == 0
 	if _, known := (*t.view.Load())[server.Key()]; noReport && !known {
 		return Change{}
@@ -169,7 +169,7 @@
 func (t *Table) applyReport(now time.Time, state State, server process.Server, reported protocol.ServerState) Change {
 	next := state
 	next.Server = server
-	next.SaidAt = now
+	next.ReportedAt = now
 	var change Change
 	if reported.Leaving && state.LeavingSince.IsZero() {
 		next.LeavingSince = now
@@ -186,8 +186,8 @@
 	return change
 }
 
-// NoteNoRoom marks a server as NoRoom for the given time, because its rate limit is used up.
-func (t *Table) NoteNoRoom(server process.Server, length time.Duration) {
+// MarkRateLimited marks a server as NoRoom for the given time, because its rate limit is used up.
+func (t *Table) MarkRateLimited(server process.Server, length time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock()
@@ -196,10 +196,10 @@
 		return
 	}
 	state.Server = server
-	if !now.Before(state.NoRoomUntil) {
-		state.NoRoomSince = now
+	if !now.Before(state.RateLimitedUntil) {
+		state.RateLimitedSince = now
 	}
-	state.NoRoomUntil = now.Add(length)
+	state.RateLimitedUntil = now.Add(length)
 	t.publish(now, state)
 }
 
@@ -233,7 +233,7 @@
 	for k, s := range v {
 		if s.ReasonAt(now) == Available {
 			delete(v, k)
-		} else if oldest == nil || s.SaidAt.Before(oldest.SaidAt) {
+		} else if oldest == nil || s.ReportedAt.Before(oldest.ReportedAt) {
 			oldest = &s
 		}
 	}
@@ -255,9 +255,9 @@
 	maxRechecks = 4
 )
 
-// TakeRechecks returns the servers to be asked whether they are still leaving, and marks them as
+// ClaimRechecks returns the servers to be asked whether they are still leaving, and marks them as
 // checked. hosts is the number of hosts, since each of them may have received the report.
-func (t *Table) TakeRechecks(hosts int) []process.Server {
+func (t *Table) ClaimRechecks(hosts int) []process.Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock()
@@ -289,26 +289,26 @@
 // Of returns why a server gets no requests now, and its state.
 func (t *Table) Of(server process.Server) (Reason, State) { return t.Now().Of(server) }
 
-// Moment is a snapshot of the table at a point in time.
-type Moment struct {
+// TableView is a snapshot of the table at a point in time.
+type TableView struct {
 	now  time.Time
 	view view
 }
 
 // Now returns a snapshot of the table.
-func (t *Table) Now() Moment {
+func (t *Table) Now() TableView {
 	v := *t.view.Load()
 	if len(v) == 0 {
-		return Moment{} // empty: no need to read the clock
+		return TableView{} // empty: no need to read the clock
 	}
-	return Moment{now: t.clock(), view: v}
+	return TableView{now: t.clock(), view: v}
 }
 
-// Nothing reports whether the table is empty.
-func (m Moment) Nothing() bool { return len(m.view) == 0 }
+// Empty reports whether the table is empty.
+func (m TableView) Empty() bool { return len(m.view) == 0 }
 
 // Of returns why a server gets no requests at this moment, and its state.
-func (m Moment) Of(server process.Server) (Reason, State) {
+func (m TableView) Of(server process.Server) (Reason, State) {
 	if len(m.view) == 0 {
 		return Available, State{}
 	}
@@ -319,34 +319,34 @@
 	return state.ReasonAt(m.now), state
 }
 
-// Absence is why none of a set of servers takes requests.
-type Absence struct {
+// Unavailability is why none of a set of servers takes requests.
+type Unavailability struct {
 	// Reason is that of the server that will be the first to take requests again, or Leaving if
 	// all servers are leaving.
 	Reason Reason
-	// Left is the time until that server takes requests, 0 if all servers are leaving.
-	Left time.Duration
+	// Remaining is the time until that server takes requests, 0 if all servers are leaving.
+	Remaining time.Duration
 }
 
-// AbsenceOf returns why none of a service's servers takes requests, or false if one does or there
+// UnavailabilityOf returns why none of a service's servers takes requests, or false if one does or there
 // are no servers.
-func (m Moment) AbsenceOf(service string, servers []world.BackendView) (Absence, bool) {
-	absence := Absence{Reason: Leaving}
+func (m TableView) UnavailabilityOf(service string, servers []world.BackendView) (Unavailability, bool) {
+	absence := Unavailability{Reason: Leaving}
 	for i := range servers {
 		reason, state := m.Of(ServerOf(service, &servers[i]))
 		if reason.TakesRequests() {
-			return Absence{}, false
+			return Unavailability{}, false
 		}
 		left := state.availableAt().Sub(m.now)
-		if reason != Leaving && (absence.Reason == Leaving || left < absence.Left) {
-			absence = Absence{Reason: reason, Left: left}
+		if reason != Leaving && (absence.Reason == Leaving || left < absence.Remaining) {
+			absence = Unavailability{Reason: reason, Remaining: left}
 		}
 	}
 	return absence, len(servers) > 0
 }
 
 // All returns the servers that get no requests at this moment, in unspecified order.
-func (m Moment) All() []State {
+func (m TableView) All() []State {
 	var all []State
 	for _, s := range m.view {
 		if !s.ReasonAt(m.now).TakesRequests() {
@@ -357,4 +357,4 @@
 }
 
 // Time returns the time of the moment by the table's clock, zero if the table is empty.
-func (m Moment) Time() time.Time { return m.now }
+func (m TableView) Time() time.Time { return m.now }
--- a/internal/availability/availability_test.go
+++ b/internal/availability/availability_test.go
@@ -42,21 +42,21 @@
 // It does not apply to a new process under the same ID.
 func TestLeavingHoldsForTheProcess(t *testing.T) {
 	table, c := newTable()
-	if change := table.Learn(server, leaving); !change.BeganLeaving {
+	if change := table.Record(server, leaving); !change.BeganLeaving {
 		t.Error("the first report is not a change")
 	}
-	if change := table.Learn(server, leaving); change.BeganLeaving {
+	if change := table.Record(server, leaving); change.BeganLeaving {
 		t.Error("a repeated report is a change")
 	}
 	c.now = c.now.Add(5 * time.Hour)
-	table.Learn(server, protocol.ServerState{})
+	table.Record(server, protocol.ServerState{})
 	expect(t, table, server, availability.Leaving)
 	expect(t, table, process.Server{Service: "shop", ID: "i1"}, availability.Leaving)
 	expect(t, table, process.Server{Service: "shop", ID: "i1", Started: 500}, availability.Leaving)
 	expect(t, table, process.Server{Service: "shop", ID: "i1", Started: 2000}, availability.Available)
 	expect(t, table, process.Server{Service: "files", ID: "i1", Started: 1000}, availability.Available)
 	restarted := process.Server{Service: "shop", ID: "i1", Started: 2000}
-	table.Learn(restarted, rest(time.Second))
+	table.Record(restarted, rest(time.Second))
 	expect(t, table, restarted, availability.Resting)
 	c.now = c.now.Add(time.Hour)
 	expect(t, table, restarted, availability.Available)
@@ -67,13 +67,13 @@
 func TestReportsOfOtherProcesses(t *testing.T) {
 	table, _ := newTable()
 	restarted := process.Server{Service: "shop", ID: "i1", Started: 2000}
-	table.Learn(restarted, rest(time.Second))
-	table.Learn(server, leaving)
+	table.Record(restarted, rest(time.Second))
+	table.Record(server, leaving)
 	expect(t, table, restarted, availability.Resting)
 	table, _ = newTable()
-	table.Learn(server, leaving)
-	table.Learn(restarted, protocol.ServerState{})
-	if !table.Now().Nothing() {
+	table.Record(server, leaving)
+	table.Record(restarted, protocol.ServerState{})
+	if !table.Now().Empty() {
 		t.Error("the state of the old process was not removed")
 	}
 }
@@ -82,25 +82,25 @@
 // asking for another rest, at most for a short time.
 func TestRestEnds(t *testing.T) {
 	table, c := newTable()
-	if change := table.Learn(server, rest(3*time.Second)); !change.BeganRest {
+	if change := table.Record(server, rest(3*time.Second)); !change.BeganRest {
 		t.Error("the first rest is not a change")
 	}
-	if change := table.Learn(server, rest(time.Second)); change.BeganRest {
+	if change := table.Record(server, rest(time.Second)); change.BeganRest {
 		t.Error("a rest within a rest is a change")
 	}
 	c.now = start.Add(3*time.Second - 1)
 	expect(t, table, server, availability.Resting)
-	if change := table.Learn(server, protocol.ServerState{}); change.Returned {
+	if change := table.Record(server, protocol.ServerState{}); change.Returned {
 		t.Error("an answer during the rest ended it")
 	}
 	expect(t, table, server, availability.Resting)
 	c.now = start.Add(3 * time.Second)
 	expect(t, table, server, availability.Returning)
-	if change := table.Learn(server, protocol.ServerState{}); !change.Returned {
+	if change := table.Record(server, protocol.ServerState{}); !change.Returned {
 		t.Error("the return is not a change")
 	}
 	expect(t, table, server, availability.Available)
-	table.Learn(server, rest(time.Second))
+	table.Record(server, rest(time.Second))
 	c.now = c.now.Add(10 * time.Second)
 	expect(t, table, server, availability.Available)
 }
@@ -108,10 +108,10 @@
 // A server that reports leaving during a rest does not return after the rest.
 func TestLeavingOutlivesRest(t *testing.T) {
 	table, c := newTable()
-	table.Learn(server, rest(time.Second))
-	table.Learn(server, leaving)
+	table.Record(server, rest(time.Second))
+	table.Record(server, leaving)
 	c.now = c.now.Add(time.Second)
-	table.Learn(server, protocol.ServerState{})
+	table.Record(server, protocol.ServerState{})
 	expect(t, table, server, availability.Leaving)
 	table.Forget(server)
 	expect(t, table, server, availability.Available)
@@ -123,7 +123,7 @@
 	table, c := newTable()
 	for i := range many {
 		c.now = c.now.Add(time.Millisecond)
-		table.Learn(process.Server{Service: "shop", ID: fmt.Sprint(i)}, leaving)
+		table.Record(process.Server{Service: "shop", ID: fmt.Sprint(i)}, leaving)
 	}
 	if kept := len(table.Now().All()); kept < 500 || kept > many/2 {
 		t.Errorf("%d servers in the table", kept)
@@ -137,26 +137,26 @@
 	table, c := newTable()
 	views := []world.BackendView{{ID: "i1"}, {ID: "i2"}, {ID: "i3"}}
 	named := func(i int) process.Server { return availability.ServerOf("shop", &views[i]) }
-	if _, none := table.Now().AbsenceOf("shop", views); none {
+	if _, none := table.Now().UnavailabilityOf("shop", views); none {
 		t.Error("no server takes requests although none has reported")
 	}
-	table.Learn(named(0), leaving)
-	table.Learn(named(1), rest(5*time.Second))
-	if _, none := table.Now().AbsenceOf("shop", views); none {
+	table.Record(named(0), leaving)
+	table.Record(named(1), rest(5*time.Second))
+	if _, none := table.Now().UnavailabilityOf("shop", views); none {
 		t.Error("no server takes requests although i3 does")
 	}
-	table.Learn(named(2), rest(3*time.Second))
-	if absence, none := table.Now().AbsenceOf("shop", views); !none || absence.Reason != availability.Resting || absence.Left != 3*time.Second {
+	table.Record(named(2), rest(3*time.Second))
+	if absence, none := table.Now().UnavailabilityOf("shop", views); !none || absence.Reason != availability.Resting || absence.Remaining != 3*time.Second {
 		t.Errorf("%+v %v", absence, none)
 	}
 	c.now = c.now.Add(3 * time.Second)
-	if _, none := table.Now().AbsenceOf("shop", views); none {
+	if _, none := table.Now().UnavailabilityOf("shop", views); none {
 		t.Error("no server takes requests although the rest of i3 is over")
 	}
-	if absence, none := table.Now().AbsenceOf("shop", views[:1]); !none || absence.Reason != availability.Leaving {
+	if absence, none := table.Now().UnavailabilityOf("shop", views[:1]); !none || absence.Reason != availability.Leaving {
 		t.Errorf("%+v %v", absence, none)
 	}
-	if _, none := table.Now().AbsenceOf("shop", nil); none {
+	if _, none := table.Now().UnavailabilityOf("shop", nil); none {
 		t.Error("a service without servers has an absence")
 	}
 }
@@ -167,7 +167,7 @@
 		b.Run(fmt.Sprint(reported, "-reported"), func(b *testing.B) {
 			table := availability.NewTable(time.Now)
 			for i := range reported {
-				table.Learn(process.Server{Service: "shop", ID: fmt.Sprint("i", i)}, leaving)
+				table.Record(process.Server{Service: "shop", ID: fmt.Sprint("i", i)}, leaving)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -181,10 +181,10 @@
 // BenchmarkLearnNothing measures the handling of an answer without a report.
 func BenchmarkLearnNothing(b *testing.B) {
 	table := availability.NewTable(time.Now)
-	table.Learn(process.Server{Service: "shop", ID: "i9"}, leaving)
+	table.Record(process.Server{Service: "shop", ID: "i9"}, leaving)
 	b.ReportAllocs()
 	for b.Loop() {
-		table.Learn(server, protocol.ServerState{})
+		table.Record(server, protocol.ServerState{})
 	}
 }
 
@@ -194,23 +194,23 @@
 	table, c := newTable()
 	views := []world.BackendView{{ID: "i1"}, {ID: "i2"}}
 	named := func(i int) process.Server { return availability.ServerOf("shop", &views[i]) }
-	table.NoteNoRoom(named(0), time.Second)
-	expect(t, table, named(0), availability.NoRoom)
-	table.Learn(named(1), rest(3*time.Second))
-	if absence, none := table.Now().AbsenceOf("shop", views); !none || absence.Reason != availability.NoRoom || absence.Left != time.Second {
+	table.MarkRateLimited(named(0), time.Second)
+	expect(t, table, named(0), availability.RateLimited)
+	table.Record(named(1), rest(3*time.Second))
+	if absence, none := table.Now().UnavailabilityOf("shop", views); !none || absence.Reason != availability.RateLimited || absence.Remaining != time.Second {
 		t.Errorf("%+v %v", absence, none)
 	}
-	table.NoteNoRoom(named(0), 5*time.Second)
-	if absence, none := table.Now().AbsenceOf("shop", views); !none || absence.Reason != availability.Resting || absence.Left != 3*time.Second {
+	table.MarkRateLimited(named(0), 5*time.Second)
+	if absence, none := table.Now().UnavailabilityOf("shop", views); !none || absence.Reason != availability.Resting || absence.Remaining != 3*time.Second {
 		t.Errorf("%+v %v", absence, none)
 	}
 	c.now = c.now.Add(5 * time.Second)
 	expect(t, table, named(0), availability.Available)
 	newer := process.Server{Service: server.Service, ID: server.ID, Started: 2000}
-	table.NoteNoRoom(server, time.Hour)
+	table.MarkRateLimited(server, time.Hour)
 	expect(t, table, newer, availability.Available)
-	table.NoteNoRoom(newer, time.Second)
-	table.NoteNoRoom(server, time.Hour)
+	table.MarkRateLimited(newer, time.Second)
+	table.MarkRateLimited(server, time.Hour)
 	c.now = c.now.Add(2 * time.Second)
 	expect(t, table, newer, availability.Available)
 }
@@ -220,11 +220,11 @@
 func TestRechecksOfAllHostsAreBounded(t *testing.T) {
 	for _, hosts := range []int{1, 12, 40, 443} {
 		table, c := newTable()
-		table.Learn(server, leaving)
+		table.Record(server, leaving)
 		c.now = start.Add(time.Hour)
 		checks := 0
 		for c.now.Sub(start) < 2*time.Hour {
-			checks += len(table.TakeRechecks(hosts))
+			checks += len(table.ClaimRechecks(hosts))
 			c.now = c.now.Add(time.Second)
 		}
 		if together := checks * hosts; checks == 0 || together > 3600+hosts {
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// Life returns a random ID that distinguishes this run of the host from earlier and
+// Incarnation returns a random ID that distinguishes this run of the host from earlier and
 // later ones.
-func (t *Table) Life() uint64 { return t.life }
+func (t *Table) Incarnation() uint64 { return t.life }
 
 // Changed returns a channel that receives after the table has changes to report to
 // other hosts. Signals that are not yet received are merged into one.
@@ -59,7 +59,7 @@
 }
 
 // Finish ends the placement and records the outcome. Further calls do nothing.
-func (l *Lease) Finish(done policy.Done) {
+func (l *Lease) Finish(done policy.Result) {
 	l.once.Do(func() {
 		l.table.mu.Lock()
 		defer l.table.mu.Unlock()
@@ -86,7 +86,7 @@
 func (t *Table) Review(view *world.ServiceView, req policy.Request, lease *Lease) (copyNow bool, after time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.table.Review(t.clock(), view, req, lease.Placement)
+	return t.table.ReviewCopy(t.clock(), view, req, lease.Placement)
 }
 
 // Trial places a copy of an idempotent request at a server that is presumed to be
@@ -94,7 +94,7 @@
 func (t *Table) Trial(view *world.ServiceView, req policy.Request) (*Lease, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	placement, ok := t.table.Trial(t.clock(), view, req)
+	placement, ok := t.table.PlaceTrial(t.clock(), view, req)
 	if !ok {
 		return nil, false
 	}
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -60,9 +60,9 @@
 
 // newNetwork returns a network of n hosts that have been up long enough to grant
 // claims.
-func newNetwork(n int, horizon, delay time.Duration) (*fakeNetwork, claims.Claimable) {
+func newNetwork(n int, horizon, delay time.Duration) (*fakeNetwork, claims.Candidates) {
 	net := &fakeNetwork{tables: make(map[string]*claims.Table), down: make(map[string]bool), delay: delay}
-	candidates := claims.Claimable{Addresses: make(map[string]string)}
+	candidates := claims.Candidates{Addresses: make(map[string]string)}
 	for i := range n {
 		host := fmt.Sprintf("h%d", i)
 		net.tables[host] = newGrantingTable(horizon)
@@ -139,14 +139,14 @@
 		second, _ = c.Claim(t.Context(), candidates, key, "r2", time.Minute)
 	}
 	second.Release(true)
-	if _, err := c.Claim(t.Context(), candidates, key, "r3", time.Minute); errs.KindOf(err) != errs.KindClaimHeld {
+	if _, err := c.Claim(t.Context(), candidates, key, "r3", time.Minute); errs.KindOf(err) != errs.KindDuplicateRequest {
 		t.Fatalf("got %v, want KindClaimHeld", err)
 	}
 }
 
 // A claim succeeds with two of six voters down and is refused with three.
 func TestClaimNeedsQuorum(t *testing.T) {
-	for down, want := range map[int]errs.Kind{2: "", 3: errs.KindClaimRefused} {
+	for down, want := range map[int]errs.Kind{2: "", 3: errs.KindClaimUnavailable} {
 		net, candidates := newNetwork(6, time.Minute, 0)
 		for i := range down {
 			net.down[fmt.Sprintf("h%d", i+1)] = true
@@ -161,7 +161,7 @@
 // Any two quorums share a host. From four voters on, this also holds for two lists of
 // voters that differ in one host.
 func TestQuorumsIntersect(t *testing.T) {
-	for n := 1; n <= claims.Claimants; n++ {
+	for n := 1; n <= claims.MaxVoters; n++ {
 		q := claims.Quorum(n)
 		if 2*q <= n {
 			t.Errorf("%d voters: two quorums of %d need not intersect", n, q)
@@ -218,7 +218,7 @@
 	}
 	net.down["h3"] = true
 	other := claims.NewCoordinator("h5", net.tables["h5"], net, 10*horizon)
-	if _, err := other.Claim(t.Context(), candidates, key, "a-low", time.Minute); errs.KindOf(err) != errs.KindClaimHeld {
+	if _, err := other.Claim(t.Context(), candidates, key, "a-low", time.Minute); errs.KindOf(err) != errs.KindDuplicateRequest {
 		t.Fatalf("got %v, want KindClaimHeld", err)
 	}
 }
--- a/internal/claims/coordinator.go
+++ b/internal/claims/coordinator.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// Claimants is the maximum number of hosts that vote on a key. They are spread
+	// MaxVoters is the maximum number of hosts that vote on a key. They are spread
 	// over the data centres.
-	Claimants = 6
+	MaxVoters = 6
 
 	// HoldMargin is added to the time until a request's deadline to get the lifetime
 	// of an unfinished claim. A host that is paused just before it writes the request
@@ -87,9 +87,9 @@
 	err      error
 }
 
-// Claimable is the set of hosts from which the voters on a key are chosen, with their
+// Candidates is the set of hosts from which the voters on a key are chosen, with their
 // addresses by host name. All hosts must use the same set for a key.
-type Claimable struct {
+type Candidates struct {
 	Hosts     []rendezvous.Node
 	Addresses map[string]string
 }
@@ -100,7 +100,7 @@
 //
 // Concurrent requests may split the vote. The one with the lowest ID then keeps its
 // votes and retries, and the others release theirs, so that one gets the quorum.
-func (c *Coordinator) Claim(ctx context.Context, candidates Claimable, key Key, requestID string, hold time.Duration) (*Claim, error) {
+func (c *Coordinator) Claim(ctx context.Context, candidates Candidates, key Key, requestID string, hold time.Duration) (*Claim, error) {
 	held, voters := c.newClaim(candidates, key, requestID)
 	// Responses that arrive after the quorum are still awaited, so that a release is
 	// never sent before its claim has been processed.
@@ -120,8 +120,8 @@
 
 // newClaim returns a new claim and its voters. The claim's ID is unique to the call,
 // so that a late release by an earlier call for the same request cannot free it.
-func (c *Coordinator) newClaim(candidates Claimable, key Key, requestID string) (*Claim, []string) {
-	hosts := rendezvous.Spread(key.Service+"/"+key.Key, candidates.Hosts, Claimants)
+func (c *Coordinator) newClaim(candidates Candidates, key Key, requestID string) (*Claim, []string) {
+	hosts := rendezvous.Spread(key.Service+"/"+key.Key, candidates.Hosts, MaxVoters)
 	cl := &Claim{
 		coordinator: c,
 		key:         key,
@@ -156,7 +156,7 @@
 			return nil
 		}
 		if len(holders) == 0 {
-			return errs.New(errs.KindClaimRefused, "no quorum of hosts granted the idempotency key", "repeat the request with the same key after the time in Retry-After")
+			return errs.New(errs.KindClaimUnavailable, "no quorum of hosts granted the idempotency key", "repeat the request with the same key after the time in Retry-After")
 		}
 		lowestID := slices.Min(slices.Collect(maps.Keys(holders)))
 		if lowestID < b.claim.id || ctx.Err() != nil || time.Now().After(deadline) {
@@ -200,7 +200,7 @@
 }
 
 func heldError(holder string) error {
-	return errs.New(errs.KindClaimHeld, "another request with this idempotency key is running or has run: "+holder, "query the outcome of that request before sending a new key")
+	return errs.New(errs.KindDuplicateRequest, "another request with this idempotency key is running or has run: "+holder, "query the outcome of that request before sending a new key")
 }
 
 func (cl *Claim) requestVote(ctx context.Context, host string, hold time.Duration) vote {
--- a/internal/config/discovered.go
+++ b/internal/config/discovered.go
@@ -57,8 +57,8 @@
 	v.identifier(path+".service", b.Service)
 }
 
-// Check validates a single entry.
-func (b DiscoveredBackend) Check() error {
+// Validate validates a single entry.
+func (b DiscoveredBackend) Validate() error {
 	check := &validator{}
 	check.discovered("backend", b, make(map[string]bool))
 	return check.err()
--- a/internal/content/content.go
+++ b/internal/content/content.go
@@ -44,8 +44,8 @@
 	Streamed bool
 }
 
-// Of returns the ID of a request.
-func Of(r Request) ID {
+// NewID returns the ID of a request.
+func NewID(r Request) ID {
 	hash, err := blake2b.New(idSize, domain)
 	if err != nil {
 		panic(err) // unreachable: size and key are valid constants
@@ -88,8 +88,8 @@
 // String returns the ID in hexadecimal.
 func (id ID) String() string { return hex.EncodeToString(id[:]) }
 
-// Label returns an abbreviated ID for logs.
-func (id ID) Label() string { return hex.EncodeToString(id[:labelSize]) }
+// Short returns an abbreviated ID for logs.
+func (id ID) Short() string { return hex.EncodeToString(id[:labelSize]) }
 
 // FromBytes decodes an ID from a message; ok is false if raw has the wrong length.
 func FromBytes(raw []byte) (id ID, ok bool) {
--- a/internal/content/content_test.go
+++ b/internal/content/content_test.go
@@ -25,18 +25,18 @@
 	}
 	again := base
 	again.Body = []byte(string(base.Body))
-	if Of(base) != Of(again) {
+	if NewID(base) != NewID(again) {
 		t.Error("equal requests have different IDs")
 	}
 	for name, r := range others {
-		if Of(r) == Of(base) {
+		if NewID(r) == NewID(base) {
 			t.Errorf("requests that differ by %s have the same ID", name)
 		}
 	}
 }
 
 func TestIDRoundTrip(t *testing.T) {
-	id := Of(Request{Target: "/x"})
+	id := NewID(Request{Target: "/x"})
 	back, err := Parse(id.String())
 	if err != nil || back != id {
 		t.Errorf("Parse: %v, %v", back, err)
@@ -60,7 +60,7 @@
 		b.Run(size.name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				Of(r)
+				NewID(r)
 			}
 		})
 	}
--- a/internal/customer/bearer.go
+++ b/internal/customer/bearer.go
@@ -20,9 +20,9 @@
 // Challenge is the value of HeaderChallenge.
 const Challenge = scheme
 
-// KeyOf returns the key that a request carries as a bearer token (RFC 6750, 2.1). It returns false
+// BearerKey returns the key that a request carries as a bearer token (RFC 6750, 2.1). It returns false
 // if there is no Authorization header, more than one, or a malformed one.
-func KeyOf(h http.Header) (string, bool) {
+func BearerKey(h http.Header) (string, bool) {
 	values := h[HeaderAuthorization]
 	if len(values) != 1 {
 		return "", false
--- a/internal/customer/customer.go
+++ b/internal/customer/customer.go
@@ -22,8 +22,8 @@
 	Burst float64
 }
 
-// None reports whether there is no limit.
-func (l Limit) None() bool { return l.PerSecond <= 0 }
+// Unlimited reports whether there is no limit.
+func (l Limit) Unlimited() bool { return l.PerSecond <= 0 }
 
 // Table finds a customer by its key. It is immutable after Build and safe for
 // concurrent use.
@@ -54,8 +54,8 @@
 // Empty reports whether there are no customers. Requests then need no key.
 func (t *Table) Empty() bool { return len(t.byName) == 0 }
 
-// Holder returns the customer that holds a key, or nil.
-func (t *Table) Holder(key string) *Customer { return t.byKey[DigestOf(key)] }
+// ByKey returns the customer that holds a key, or nil.
+func (t *Table) ByKey(key string) *Customer { return t.byKey[DigestOf(key)] }
 
-// Named returns the customer of the given name, or nil.
-func (t *Table) Named(name string) *Customer { return t.byName[name] }
+// ByName returns the customer of the given name, or nil.
+func (t *Table) ByName(name string) *Customer { return t.byName[name] }
--- a/internal/customer/customer_test.go
+++ b/internal/customer/customer_test.go
@@ -25,13 +25,13 @@
 	customers := table(100)
 	for i := range 100 {
 		for k := range 2 {
-			if c := customers.Holder(key(i, k)); c == nil || c.Name != fmt.Sprint("customer-", i) {
+			if c := customers.ByKey(key(i, k)); c == nil || c.Name != fmt.Sprint("customer-", i) {
 				t.Fatalf("key %d of customer %d is held by %v", k, i, c)
 			}
 		}
 	}
 	for _, unknown := range []string{"", "x", key(100, 0), key(1, 1) + " "} {
-		if c := customers.Holder(unknown); c != nil {
+		if c := customers.ByKey(unknown); c != nil {
 			t.Errorf("unknown key %q is held by %s", unknown, c.Name)
 		}
 	}
@@ -68,7 +68,7 @@
 		{[]string{"Bearer abc", "Bearer abc"}, "", false},
 	}
 	for _, c := range cases {
-		key, ok := customer.KeyOf(http.Header{"Authorization": c.values})
+		key, ok := customer.BearerKey(http.Header{"Authorization": c.values})
 		if ok != c.ok || ok && key != c.key {
 			t.Errorf("%q: key %q, %v", c.values, key, ok)
 		}
@@ -84,7 +84,7 @@
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		if customers.Holder(keys[i%len(keys)]) == nil {
+		if customers.ByKey(keys[i%len(keys)]) == nil {
 			b.Fatal("unknown")
 		}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -106,12 +106,12 @@
 // New opens the sockets and returns a host that uses the built-in platform.
 // Start runs it.
 func New(s *settings.Settings, hooks Hooks) (*Daemon, error) {
-	adapter := Adapter{Source: platform.NewClient(s.Platform.Address), Protocol: protocol.Own()}
-	return NewAdapted(s, hooks, adapter)
+	adapter := Adapter{Source: platform.NewClient(s.Platform.Address), Protocol: protocol.Default()}
+	return NewWithAdapter(s, hooks, adapter)
 }
 
-// NewAdapted is like New but uses the given platform adapter.
-func NewAdapted(s *settings.Settings, hooks Hooks, adapter Adapter) (*Daemon, error) {
+// NewWithAdapter is like New but uses the given platform adapter.
+func NewWithAdapter(s *settings.Settings, hooks Hooks, adapter Adapter) (*Daemon, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Daemon{
 		settings:      s,
@@ -125,7 +125,7 @@
 		stopRequested: make(chan struct{}),
 	}
 	d.metrics = metrics.New(d.registry)
-	d.events = event.NewLog(s.Host, d.clock, settings.DefaultEventRing)
+	d.events = event.NewLog(s.Host, d.clock, settings.DefaultEventLogCapacity)
 	steps := []func() error{d.openSockets, d.makeBus, d.makeClients, d.makeEngine, d.makeServers}
 	for _, step := range steps {
 		if err := step(); err != nil {
@@ -229,15 +229,15 @@
 	seed := xxhash.Sum64String(self.Host + self.Address)
 	now := time.Now()
 	d.engine = engine.New(engine.Config{
-		Self:         self,
-		Tick:         time.Duration(t.Tick),
-		Freshness:    time.Duration(t.Freshness),
-		Seeds:        d.settings.Peer.Seeds,
-		Forwarding:   *d.settings.Forwarding,
-		Documents:    d.platform.Documents(),
-		DirectAfter:  time.Duration(d.settings.Platform.DirectAfter),
-		DirectSpread: time.Duration(d.settings.Platform.DirectSpread),
-		Seed:         seed,
+		Self:              self,
+		Tick:              time.Duration(t.Tick),
+		Freshness:         time.Duration(t.Freshness),
+		Seeds:             d.settings.Peer.Seeds,
+		Forwarding:        *d.settings.Forwarding,
+		RequiredDocuments: d.platform.Documents(),
+		DirectAfter:       time.Duration(d.settings.Platform.DirectAfter),
+		DirectSpread:      time.Duration(d.settings.Platform.DirectSpread),
+		Seed:              seed,
 		Membership: membership.Config{
 			Host:           self.Host,
 			Address:        self.Address,
@@ -253,23 +253,23 @@
 	if !*d.settings.Forwarding {
 		d.balance = balance.NewTable(time.Now, policy.Config{
 			Cost:    policy.DefaultCostRule(),
-			Without: d.settings.Policy.Without,
+			Without: d.settings.Policy.DisabledMechanisms,
 			Retry: policy.RetryRule{
 				Share:   d.settings.Retry.FleetShare,
 				Reserve: d.settings.Retry.FleetReserve,
 				Window:  time.Duration(d.settings.Retry.Window),
 			},
 		})
-		d.metrics.WatchBalance(d.balance)
+		d.metrics.RegisterBalance(d.balance)
 	}
 	d.servers = availability.NewTable(boottime.Now)
 	d.limiter = newCustomerLimiter(d, rand.Uint64())
 	d.rateLimits = newRateLimiter(d, rand.Uint64())
 	d.guard = newContentGuard(d)
 	d.memory = memory.NewBudget(int64(d.settings.MemoryMB * (1 << 20)))
-	d.metrics.WatchHeldBytes(d.memory.Held)
-	d.metrics.WatchControl(d.datagrams)
-	d.metrics.WatchLimits(d.limiter)
+	d.metrics.RegisterHeldBytes(d.memory.InUse)
+	d.metrics.RegisterControl(d.datagrams)
+	d.metrics.RegisterCustomerLimits(d.limiter)
 	d.claims = claims.NewTable(time.Duration(t.ClaimHorizon), time.Now)
 	return nil
 }
@@ -286,7 +286,7 @@
 		Regions:     d.settings.Regions,
 		BufferBytes: int64(d.settings.Backend.BufferBytes),
 		BeforeWrite: d.hooks.BeforeWrite,
-	}, dispatch.Parts{
+	}, dispatch.Dependencies{
 		Snapshot: d.engine.Snapshot,
 		Backends: d.backends,
 		Owners:   d.owners,
@@ -370,7 +370,7 @@
 func (d *Daemon) Availability() *availability.Table { return d.servers }
 
 // HeldBytes returns the number of body bytes that this host buffers.
-func (d *Daemon) HeldBytes() int64 { return d.memory.Held() }
+func (d *Daemon) HeldBytes() int64 { return d.memory.InUse() }
 
 // Events returns the host's event log, a ring buffer.
 func (d *Daemon) Events() *event.Log { return d.events }
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -78,7 +78,7 @@
 	}
 	key := msg.Metadata.Get(bus.MetaKey)
 	raw := msg.Payload
-	d.engine.Post(func(now time.Time) { d.engine.Document(now, key, revision, raw) })
+	d.engine.Post(func(now time.Time) { d.engine.HandleDocument(now, key, revision, raw) })
 	return nil
 }
 
@@ -132,7 +132,7 @@
 			return
 		}
 		if !fetch.Platform {
-			f.d.engine.Post(func(now time.Time) { f.d.engine.FetchedNothing(now, fetch.Key) })
+			f.d.engine.Post(func(now time.Time) { f.d.engine.FetchFailed(now, fetch.Key) })
 			return
 		}
 		klog.InfoS("fetching document from platform", "key", fetch.Key, "after", fetch.After, "peers", len(fetch.Peers), "host", f.d.settings.Host)
@@ -158,7 +158,7 @@
 }
 
 func (f *effects) fetchFromPeer(address string, fetch world.Fetch) bool {
-	ctx, cancel := context.WithTimeout(f.d.ctx, configsync.TimeoutOf(fetch))
+	ctx, cancel := context.WithTimeout(f.d.ctx, configsync.FetchTimeout(fetch))
 	defer cancel()
 	resp, err := f.d.clients.Peer(address).Document(ctx, &peerpb.DocumentRequest{Key: fetch.Key, After: fetch.After})
 	if err != nil {
@@ -168,7 +168,7 @@
 	if resp.Revision <= fetch.After {
 		return false
 	}
-	raw, err := configsync.Content(resp)
+	raw, err := configsync.DecodeContent(resp)
 	if err != nil {
 		klog.ErrorS(err, "discarding invalid document from peer", "key", fetch.Key, "peer", address)
 		return false
@@ -243,12 +243,12 @@
 	}
 	return e.Do(ctx, func(_ *world.World, now time.Time) {
 		e.Merge(now, resp.Members, resp.Registers, resp.Clock)
-		e.Synced()
+		e.MarkSynced()
 	})
 }
 
-// Reading starts or stops watching the platform.
-func (f *effects) Reading(reader bool) { f.d.watcher.setReader(reader) }
+// SetReading starts or stops watching the platform.
+func (f *effects) SetReading(reader bool) { f.d.watcher.setReader(reader) }
 
 // StopRequested closes the channel returned by StopRequests. Repeated calls have no
 // effect.
@@ -258,14 +258,14 @@
 
 // Ticked updates the metrics of the control loop.
 func (f *effects) Ticked(d time.Duration, w *world.World) {
-	f.d.metrics.Tick(d)
+	f.d.metrics.TickDuration(d)
 	live := 0
 	for _, h := range w.Hosts {
 		if h.Live() {
 			live++
 		}
 	}
-	f.d.metrics.MembersLive(live)
+	f.d.metrics.SetLiveHosts(live)
 }
 
 // Interface guard.
--- a/internal/daemon/limiter.go
+++ b/internal/daemon/limiter.go
@@ -32,7 +32,7 @@
 // configuration.
 func newCustomerLimiter(d *Daemon, life uint64) *limiter {
 	return newLimiter(d, peerpb.Datagram_KIND_QUOTA, life, quota.CustomerRule(), func(name string) (customer.Limit, bool) {
-		holder := d.engine.Snapshot().Customers.Named(name)
+		holder := d.engine.Snapshot().Customers.ByName(name)
 		if holder == nil {
 			return customer.Limit{}, false
 		}
@@ -51,7 +51,7 @@
 	if err != nil {
 		return false, 0 // the caller has disconnected
 	}
-	l.d.metrics.Limited(verdict.OK)
+	l.d.metrics.CustomerLimitChecked(verdict.OK)
 	return verdict.OK, verdict.RetryAfter
 }
 
@@ -84,7 +84,7 @@
 
 // refund returns the permit of a request that was not sent.
 func (l *limiter) refund(name string) {
-	l.update(func(now time.Time) { l.table.Return(now, name) })
+	l.update(func(now time.Time) { l.table.ReturnToken(now, name) })
 }
 
 // update applies work to the table under the lock, sends the resulting messages and wakes
@@ -97,7 +97,7 @@
 		l.table.SetFleet(now, fleetOf(snap))
 	}
 	work(now)
-	messages := l.table.Messages()
+	messages := l.table.TakeMessages()
 	due := l.table.Due()
 	earlier := !due.IsZero() && (l.due.IsZero() || due.Before(l.due))
 	if earlier {
@@ -116,11 +116,11 @@
 
 func fleetOf(snap *world.Snapshot) quota.Fleet {
 	return quota.Fleet{
-		Version: snap.HostsVersion,
-		Homes:   snap.Homes,
-		Live:    func(host string) bool { return snap.Reachable[host] },
-		Size:    snap.FleetSize,
-		Settled: snap.Settled,
+		Version:  snap.HostsVersion,
+		Homes:    snap.Homes,
+		Live:     func(host string) bool { return snap.Reachable[host] },
+		PeakSize: snap.FleetSize,
+		Settled:  snap.Settled,
 	}
 }
 
@@ -178,9 +178,9 @@
 
 // Limits returns the limits of the customers or backend servers that this host serves,
 // busiest first.
-func (l *limiter) Limits() []quota.Row {
-	var rows []quota.Row
-	l.update(func(now time.Time) { rows = l.table.Rows(now) })
+func (l *limiter) Limits() []quota.CustomerStatus {
+	var rows []quota.CustomerStatus
+	l.update(func(now time.Time) { rows = l.table.CustomerStatuses(now) })
 	return rows
 }
 
--- a/internal/daemon/loadreport.go
+++ b/internal/daemon/loadreport.go
@@ -33,7 +33,7 @@
 }
 
 func (l *loadReporter) run(ctx context.Context) {
-	refresh := time.NewTicker(policy.RefreshEvery)
+	refresh := time.NewTicker(policy.RefreshInterval)
 	defer refresh.Stop()
 	for {
 		select {
@@ -51,15 +51,15 @@
 func (l *loadReporter) report() {
 	near, failing := l.table.Changes()
 	snap := l.d.engine.Snapshot()
-	service := snap.SharedService
-	l.send(snap.Sharing.Near(near, service))
+	service := snap.ServiceRings
+	l.send(snap.Sharing.Local(near, service))
 	if len(failing) == 0 {
 		return
 	}
-	l.send(snap.Sharing.Far(failing, service))
+	l.send(snap.Sharing.Remote(failing, service))
 	time.AfterFunc(resendDelay, func() {
 		if l.d.ctx.Err() == nil {
-			l.send(snap.Sharing.Near(near, service))
+			l.send(snap.Sharing.Local(near, service))
 		}
 	})
 }
@@ -69,9 +69,9 @@
 		l.d.datagrams.Send(&peerpb.Datagram{
 			Kind:  peerpb.Datagram_KIND_LOAD,
 			From:  l.d.settings.Host,
-			Life:  l.table.Life(),
+			Life:  l.table.Incarnation(),
 			Loads: m.Loads,
-			Near:  m.Near,
+			Near:  m.Local,
 		}, m.To...)
 	}
 }
--- a/internal/daemon/peerservice.go
+++ b/internal/daemon/peerservice.go
@@ -36,7 +36,7 @@
 			s.d.metrics.DocumentSent(req.Key, len(resp.GetDocument()))
 			return resp, nil
 		}
-		wait(ctx, configsync.DocumentRecheck)
+		wait(ctx, configsync.DocumentPollInterval)
 	}
 }
 
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -19,7 +19,7 @@
 // transport of the table's messages, and publishes its decisions.
 type contentGuard struct {
 	d *Daemon
-	// watching mirrors Table.Watches, so that requests can check it without the lock.
+	// watching mirrors Table.HasEvidence, so that requests can check it without the lock.
 	watching atomic.Bool
 
 	mu       sync.Mutex
@@ -74,13 +74,13 @@
 		allowed, _ = q.requestTrial(held)
 	}
 	if allowed {
-		klog.InfoS("sending quarantined content on trial", "content", held.Content.Label(), "scope", held.Scope, "service", held.Service, "trials", held.Trials, "host", q.d.settings.Host)
+		klog.InfoS("sending quarantined content on trial", "content", held.Content.Short(), "scope", held.Scope, "service", held.Service, "trials", held.Trials, "host", q.d.settings.Host)
 	}
 	return allowed
 }
 
 func (q *contentGuard) requestTrial(held *quarantine.Quarantine) (allowed, asked bool) {
-	q.update(func(now time.Time) { allowed, asked = q.table.Trial(now, held) })
+	q.update(func(now time.Time) { allowed, asked = q.table.RequestTrial(now, held) })
 	return allowed, asked
 }
 
@@ -99,21 +99,21 @@
 	q.granted = make(chan struct{})
 }
 
-// Ended implements dispatch.Quarantine.
-func (q *contentGuard) Ended(subject quarantine.Subject, service, server string) {
+// RecordCrash implements dispatch.Quarantine.
+func (q *contentGuard) RecordCrash(subject quarantine.Subject, service, server string) {
 	q.d.metrics.ServerEnded(service)
 	q.update(func(now time.Time) {
 		for scope, id := range subject.IDs() {
-			q.table.Ended(now, id, quarantine.End{Scope: quarantine.Scope(scope), Service: service, Server: server, At: now})
+			q.table.RecordCrash(now, id, quarantine.Crash{Scope: quarantine.Scope(scope), Service: service, Server: server, At: now})
 		}
 	})
 }
 
-// Served implements dispatch.Quarantine.
-func (q *contentGuard) Served(subject quarantine.Subject) {
+// RecordAnswer implements dispatch.Quarantine.
+func (q *contentGuard) RecordAnswer(subject quarantine.Subject) {
 	q.update(func(now time.Time) {
 		for _, id := range subject.IDs() {
-			q.table.Served(now, id)
+			q.table.RecordAnswer(now, id)
 		}
 	})
 }
@@ -147,7 +147,7 @@
 	work(now)
 	messages := q.table.Messages()
 	decisions := q.table.Decisions()
-	q.watching.Store(q.table.Watches())
+	q.watching.Store(q.table.HasEvidence())
 	q.schedule(now)
 	q.mu.Unlock()
 	q.send(snap, messages)
@@ -183,8 +183,8 @@
 			From:        q.d.settings.Host,
 			Ends:        m.Ends,
 			Served:      m.Served,
-			TrialAsks:   m.Asks,
-			TrialGrants: m.Grants,
+			TrialAsks:   m.TrialRequests,
+			TrialGrants: m.GrantedTrials,
 
 			AnsweredBefore: m.Answered,
 		}, address)
@@ -196,7 +196,7 @@
 	posted := q.d.engine.Post(func(now time.Time) {
 		if decision.Quarantine == nil {
 			q.d.engine.Announce(now, quarantine.Lift(decision.Cleared))
-			q.d.engine.Record(now, event.ContentCleared, "", decision.Cleared.Label()+": answered")
+			q.d.engine.Record(now, event.ContentCleared, "", decision.Cleared.Short()+": answered")
 			return
 		}
 		q.announce(now, decision.Quarantine)
@@ -208,12 +208,12 @@
 
 func (q *contentGuard) announce(now time.Time, decided *quarantine.Quarantine) {
 	if q.d.engine.Snapshot().Quarantine.Supersedes(decided) {
-		klog.InfoS("content not quarantined: superseded by another home host or lifted in the meantime", "content", decided.Content.Label())
+		klog.InfoS("content not quarantined: superseded by another home host or lifted in the meantime", "content", decided.Content.Short())
 		return
 	}
 	r, err := decided.Register(now)
 	if err != nil {
-		klog.ErrorS(err, "cannot quarantine content", "content", decided.Content.Label())
+		klog.ErrorS(err, "cannot quarantine content", "content", decided.Content.Short())
 		return
 	}
 	q.d.engine.Announce(now, r)
@@ -221,7 +221,7 @@
 	for _, e := range decided.Ends {
 		ends += fmt.Sprintf(" %s/%s/%s", e.Server, now.Sub(e.At).Round(time.Millisecond), e.Host)
 	}
-	q.d.engine.Record(now, event.ContentQuarantined, decided.Service, fmt.Sprintf("%s %s for %s after %d trials; server/age/host:%s", decided.Scope, decided.Content.Label(), decided.Until.Sub(now).Round(time.Second), decided.Trials, ends))
+	q.d.engine.Record(now, event.ContentQuarantined, decided.Service, fmt.Sprintf("%s %s for %s after %d trials; server/age/host:%s", decided.Scope, decided.Content.Short(), decided.Until.Sub(now).Round(time.Second), decided.Trials, ends))
 }
 
 // Interface guard.
--- a/internal/daemon/ratelimit.go
+++ b/internal/daemon/ratelimit.go
@@ -35,12 +35,12 @@
 	}
 }
 
-// Heard implements dispatch.RateLimits.
-func (r *rateLimiter) Heard(server process.Server, sentAt time.Time, announced protocol.RateLimit) {
-	if announced.Unreadable != "" && r.listener.FirstUnreadable(server) {
-		klog.InfoS("cannot parse rate limit announced by server", "service", server.Service, "backend", server.ID, "value", announced.Unreadable)
+// RecordLimit implements dispatch.RateLimits.
+func (r *rateLimiter) RecordLimit(server process.Server, sentAt time.Time, announced protocol.RateLimit) {
+	if announced.Invalid != "" && r.listener.FirstUnreadable(server) {
+		klog.InfoS("cannot parse rate limit announced by server", "service", server.Service, "backend", server.ID, "value", announced.Invalid)
 	}
-	report, isNew := r.listener.Hear(time.Now(), r.d.engine.Snapshot().RateLimits, server, sentAt, announced)
+	report, isNew := r.listener.Observe(time.Now(), r.d.engine.Snapshot().RateLimits, server, sentAt, announced)
 	if !isNew {
 		return
 	}
@@ -61,9 +61,9 @@
 	case ratelimit.Began:
 		r.record(event.BackendLimited, report, fmt.Sprintf("the server takes %.4g requests a second from all hosts", report.PerSecond))
 	case ratelimit.Changed:
-		r.record(event.BackendLimited, report, fmt.Sprintf("the server takes %.4g requests a second from all hosts, before %.4g", report.PerSecond, report.Before))
+		r.record(event.BackendLimited, report, fmt.Sprintf("the server takes %.4g requests a second from all hosts, before %.4g", report.PerSecond, report.Previous))
 	case ratelimit.Ended:
-		r.record(event.BackendUnlimited, report, fmt.Sprintf("the server names no rate limit any more, before %.4g requests a second", report.Before))
+		r.record(event.BackendUnlimited, report, fmt.Sprintf("the server names no rate limit any more, before %.4g requests a second", report.Previous))
 	}
 }
 
@@ -83,14 +83,14 @@
 // Return implements dispatch.RateLimits.
 func (r *rateLimiter) Return(server process.Server) { r.refund(server.Key().String()) }
 
-// Promise implements dispatch.RateLimits.
-func (r *rateLimiter) Promise(servers []process.Server) time.Duration {
+// ReserveRetry implements dispatch.RateLimits.
+func (r *rateLimiter) ReserveRetry(servers []process.Server) time.Duration {
 	names := make([]string, 0, len(servers))
 	for _, s := range servers {
 		names = append(names, s.Key().String())
 	}
 	var after time.Duration
-	r.update(func(now time.Time) { after = r.table.Promise(now, names) })
+	r.update(func(now time.Time) { after = r.table.ReserveRetry(now, names) })
 	return after
 }
 
--- a/internal/daemon/recheck.go
+++ b/internal/daemon/recheck.go
@@ -41,7 +41,7 @@
 }
 
 func (r *rechecker) checkAll(ctx context.Context) {
-	for _, server := range r.servers.TakeRechecks(r.snapshot().LiveHosts) {
+	for _, server := range r.servers.ClaimRechecks(r.snapshot().LiveHosts) {
 		r.check(ctx, server)
 	}
 }
--- a/internal/daemon/recheck_test.go
+++ b/internal/daemon/recheck_test.go
@@ -47,7 +47,7 @@
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { row.answer(w) }))
 			defer server.Close()
 			now := time.Now()
-			proto := protocol.Own()
+			proto := protocol.Default()
 			proto.Instance = "Instance"
 			view := &world.ServiceView{
 				Config:   &config.Service{Name: "shop", Probe: config.Probe{Path: "/healthz"}},
@@ -61,13 +61,13 @@
 				events:   noEvents{},
 			}
 			id := process.Server{Service: "shop", ID: "i1"}
-			r.servers.Learn(id, protocol.ServerState{Leaving: true})
+			r.servers.Record(id, protocol.ServerState{Leaving: true})
 			now = now.Add(row.after)
 			r.checkAll(context.Background())
 			if got, _ := r.servers.Of(id); got != row.want {
 				t.Errorf("availability is %v, want %v", got, row.want)
 			}
-			if again := r.servers.TakeRechecks(1); row.after == time.Hour && len(again) > 0 {
+			if again := r.servers.ClaimRechecks(1); row.after == time.Hour && len(again) > 0 {
 				t.Error("server is due for another recheck immediately")
 			}
 		})
--- a/internal/daemon/uselog.go
+++ b/internal/daemon/uselog.go
@@ -23,11 +23,11 @@
 // in use again. The command `pearshelf unused` reads these lines.
 type useLog struct {
 	d     *Daemon
-	limit *logging.Limit
+	limit *logging.LineLimiter
 }
 
 func newUseLog(d *Daemon) *useLog {
-	return &useLog{d: d, limit: logging.NewLimit(useLogLinesPerSecond)}
+	return &useLog{d: d, limit: logging.NewLineLimiter(useLogLinesPerSecond)}
 }
 
 func (u *useLog) run(ctx context.Context) {
@@ -45,12 +45,12 @@
 }
 
 func (u *useLog) log(snap *world.Snapshot, change policy.UseChange) {
-	if !u.limit.Allows(time.Now()) {
+	if !u.limit.Allow(time.Now()) {
 		return
 	}
 	idle := change.Idle.Round(time.Millisecond)
 	if change.InUse {
-		klog.InfoS(logging.InUse, "service", change.Service, "backend", change.Server, "idle", idle, "missed", u.limit.TakeMissed())
+		klog.InfoS(logging.InUse, "service", change.Service, "backend", change.Server, "idle", idle, "missed", u.limit.TakeSuppressed())
 		return
 	}
 	klog.InfoS(logging.OutOfUse,
@@ -59,17 +59,17 @@
 		"idle", idle,
 		"why", string(change.Why),
 		"belief", change.Belief,
-		"troubled", change.Troubled,
+		"troubled", change.Degraded,
 		"limited", change.Limited,
 		"hosts", u.hostCount(snap, change),
-		"missed", u.limit.TakeMissed())
+		"missed", u.limit.TakeSuppressed())
 }
 
 // hostCount returns how many hosts of this data centre use a server.
 func (u *useLog) hostCount(snap *world.Snapshot, change policy.UseChange) int {
-	service := snap.SharedService(change.Service)
+	service := snap.ServiceRings(change.Service)
 	if service == nil {
 		return 1
 	}
-	return 1 + len(snap.Sharing.Audience(service, change.Server, u.d.settings.DataCentre))
+	return 1 + len(snap.Sharing.Recipients(service, change.Server, u.d.settings.DataCentre))
 }
--- a/internal/dispatch/buffer.go
+++ b/internal/dispatch/buffer.go
@@ -22,7 +22,7 @@
 	complete, err := body.fill(response, limit)
 	if err != nil {
 		body.release()
-		return errs.Wrap(err, errs.KindBroken, "response truncated", "ask for the outcome before repeating a non-idempotent request")
+		return errs.Wrap(err, errs.KindAnswerBroken, "response truncated", "ask for the outcome before repeating a non-idempotent request")
 	}
 	if !complete {
 		body.rest = response.Body
@@ -31,7 +31,7 @@
 	}
 	if err := response.Body.Close(); err != nil {
 		body.release()
-		return errs.Wrap(err, errs.KindBroken, "the response did not end cleanly", "ask for the outcome before repeating a non-idempotent request")
+		return errs.Wrap(err, errs.KindAnswerBroken, "the response did not end cleanly", "ask for the outcome before repeating a non-idempotent request")
 	}
 	response.Body = body
 	response.ContentLength = int64(body.head.Len())
@@ -76,7 +76,7 @@
 }
 
 func (h *bufferedBody) reserve(n int64) bool {
-	if !h.budget.TakeOptional(n) {
+	if !h.budget.TryAcquireOptional(n) {
 		return false
 	}
 	h.reserved += n
@@ -85,7 +85,7 @@
 
 // release returns the reserved memory.
 func (h *bufferedBody) release() {
-	h.budget.Return(h.reserved)
+	h.budget.Release(h.reserved)
 	h.reserved = 0
 }
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -61,10 +61,10 @@
 	// Check returns the quarantine for which a request must be refused now, or nil if it may
 	// be sent. onTrial is set if it may be sent only once, to one server.
 	Check(subject quarantine.Subject) (refused *quarantine.Quarantine, onTrial bool)
-	// Ended records that a server ended while it was processing a request.
-	Ended(subject quarantine.Subject, service, server string)
-	// Served records that a server has answered a request completely.
-	Served(subject quarantine.Subject)
+	// RecordCrash records that a server ended while it was processing a request.
+	RecordCrash(subject quarantine.Subject, service, server string)
+	// RecordAnswer records that a server has answered a request completely.
+	RecordAnswer(subject quarantine.Subject)
 }
 
 // Dispatcher serves requests. It is safe for concurrent use.
@@ -72,7 +72,7 @@
 	conf         Config
 	snapshot     func() *world.Snapshot
 	backends     *upstream.Transport
-	fates        *upstream.Fates
+	fates        *upstream.LivenessChecker
 	owners       *upstream.Transport
 	claims       *claims.Coordinator
 	observer     Observer
@@ -87,7 +87,7 @@
 
 	homes           homeViews
 	requestLog      requestLog
-	stateEventLimit *logging.Limit
+	stateEventLimit *logging.LineLimiter
 
 	mu       sync.Mutex
 	services map[string]*serviceState
@@ -98,8 +98,8 @@
 	budget *retryBudget
 }
 
-// Parts are the dependencies of a Dispatcher.
-type Parts struct {
+// Dependencies are the dependencies of a Dispatcher.
+type Dependencies struct {
 	Snapshot func() *world.Snapshot
 	Backends *upstream.Transport
 	Owners   *upstream.Transport
@@ -120,12 +120,12 @@
 }
 
 // New returns a Dispatcher.
-func New(conf Config, parts Parts) *Dispatcher {
+func New(conf Config, parts Dependencies) *Dispatcher {
 	return &Dispatcher{
 		conf:            conf,
 		snapshot:        parts.Snapshot,
 		backends:        parts.Backends,
-		fates:           upstream.NewFates(),
+		fates:           upstream.NewLivenessChecker(),
 		owners:          parts.Owners,
 		claims:          parts.Claims,
 		observer:        parts.Observer,
@@ -137,8 +137,8 @@
 		availability:    parts.Availability,
 		rateLimits:      parts.RateLimits,
 		memory:          parts.Memory,
-		stateEventLimit: logging.NewLimit(stateEventsPerSecond),
-		requestLog:      requestLog{limit: logging.NewLimit(requestLinesPerSecond)},
+		stateEventLimit: logging.NewLineLimiter(stateEventsPerSecond),
+		requestLog:      requestLog{limit: logging.NewLineLimiter(requestLinesPerSecond)},
 		services:        make(map[string]*serviceState),
 	}
 }
@@ -197,10 +197,10 @@
 // bufferBody reads a small body into memory and returns a function that releases the memory.
 func (d *Dispatcher) bufferBody(req *Request) (returnMemory func(), refusal *Refusal) {
 	size := req.body.bufferBytes()
-	if !d.memory.Take(size) {
-		return func() {}, refuseNotRun(errs.New(errs.KindMemory, "this host has no memory left for request bodies", "repeat the request after the time in Retry-After; add hosts"), defaultRetryAfter)
+	if !d.memory.TryAcquire(size) {
+		return func() {}, refuseNotRun(errs.New(errs.KindHostMemory, "this host has no memory left for request bodies", "repeat the request after the time in Retry-After; add hosts"), defaultRetryAfter)
 	}
-	returnMemory = func() { d.memory.Return(size) }
+	returnMemory = func() { d.memory.Release(size) }
 	if err := req.body.buffer(); err != nil {
 		return returnMemory, &Refusal{Outcome: OutcomeNotRun, Status: http.StatusBadRequest, Err: toTypedError(err)}
 	}
@@ -226,11 +226,11 @@
 // shouldForward reports whether to forward the request to an owner host. An owner that
 // suspects its own network leaves the work to the other owners.
 func (d *Dispatcher) shouldForward(req *Request, view *world.ServiceView, snap *world.Snapshot) bool {
-	if !d.conf.Forwarding || req.ForwardedBy != "" || !req.Homes.Allow(d.conf.Regions, snap.Self.DataCentre) {
+	if !d.conf.Forwarding || req.ForwardedBy != "" || !req.Homes.Allows(d.conf.Regions, snap.Self.DataCentre) {
 		return false // owner hosts are in this host's data centre
 	}
 	if view.SelfOwner {
-		return snap.Distrust && len(view.Owners) > 0
+		return snap.NetworkSuspect && len(view.Owners) > 0
 	}
 	return view.ActiveOwners > 0
 }
@@ -239,7 +239,7 @@
 	if typed, ok := err.(*errs.Error); ok {
 		return typed
 	}
-	return errs.Wrap(err, errs.KindBroken, "request failed", "see the cause")
+	return errs.Wrap(err, errs.KindAnswerBroken, "request failed", "see the cause")
 }
 
 // shuffleOwners returns the owners with the active ones in random order, so that entry hosts
--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -117,12 +117,12 @@
 		return nil, nil
 	}
 	key := claims.Key{Service: x.req.Service, Key: x.req.Key}
-	claim, err := x.d.claims.Claim(ctx, x.claimHosts(), key, x.req.ID, time.Until(x.req.Deadline))
+	claim, err := x.d.claims.Claim(ctx, x.claimCandidates(), key, x.req.ID, time.Until(x.req.Deadline))
 	if err == nil {
 		return claim, nil
 	}
 	typed := toTypedError(err)
-	if typed.Kind == errs.KindClaimHeld {
+	if typed.Kind == errs.KindDuplicateRequest {
 		x.d.events.Record(event.RequestDuplicate, x.req.Service, "", x.req.ID)
 		return nil, refuseUnknown(typed)
 	}
@@ -155,13 +155,13 @@
 // isExpired reports whether the request has ended or its deadline has passed. It checks the
 // clock as well because the timer that ends the request may fire late on a busy host.
 func (x *exchange) isExpired(ctx context.Context) bool {
-	return ctx.Err() != nil || world.Passed(time.Now(), x.req.Deadline)
+	return ctx.Err() != nil || world.HasPassed(time.Now(), x.req.Deadline)
 }
 
 // finalRefusal chooses between the refusal of the last attempt and one that says that no
 // server is left.
 func (x *exchange) finalRefusal(last *Refusal, err error) error {
-	noneLeft := errs.KindOf(err) == errs.KindNoBackend || last != nil && last.Err.Kind == errs.KindNoRoom
+	noneLeft := errs.KindOf(err) == errs.KindNoBackendServer || last != nil && last.Err.Kind == errs.KindServerRateLimit
 	if noneLeft && (last == nil || last.Outcome == OutcomeNotRun) {
 		if refusal := x.refuseIfNoneAvailable(); refusal != nil {
 			return refusal
@@ -225,7 +225,7 @@
 
 // fleetSize returns how many hosts share the retry allowance.
 func (x *exchange) fleetSize() policy.Fleet {
-	return policy.Fleet{Near: x.snap.Sharing.SegmentSize(), All: x.snap.FleetSize}
+	return policy.Fleet{LocalHosts: x.snap.Sharing.SegmentSize(), MaxHosts: x.snap.FleetSize}
 }
 
 // attempt sends the request to one server. done reports whether the caller has been answered;
--- a/internal/dispatch/forward.go
+++ b/internal/dispatch/forward.go
@@ -26,7 +26,7 @@
 			x.written = x.written || failure.Written
 			continue
 		case x.ownerDeclined(response):
-			response.Finish()
+			response.DrainAndClose()
 			continue
 		}
 		return x.relay(ctx, owner, response)
@@ -69,8 +69,8 @@
 		return true, refuseUnknown(errs.New(errs.KindWrongAnswer, "owner host "+owner.Host+" sent a response to another request", "ask for the outcome before repeating a non-idempotent request"))
 	}
 	if x.written && Outcome(response.Header.Get(HeaderOutcome)) == OutcomeNotRun {
-		response.Finish()
-		return true, refuseUnknown(errs.New(errs.KindBroken, "the connection to an owner host broke before owner host "+owner.Host+" refused the request", "repeat the request"))
+		response.DrainAndClose()
+		return true, refuseUnknown(errs.New(errs.KindAnswerBroken, "the connection to an owner host broke before owner host "+owner.Host+" refused the request", "repeat the request"))
 	}
 	x.headerArrived()
 	tried := []string{owner.Host}
--- a/internal/dispatch/forward_test.go
+++ b/internal/dispatch/forward_test.go
@@ -42,7 +42,7 @@
 	if err := req.body.buffer(); err != nil {
 		t.Fatal(err)
 	}
-	x := &exchange{d: &Dispatcher{proto: protocol.Own()}, req: req}
+	x := &exchange{d: &Dispatcher{proto: protocol.Default()}, req: req}
 	got := x.roundTripRecovered(context.Background(), destination{adjust: func(http.Header) { panic("planted") }})
 	if got.failure == nil || !got.failure.Written {
 		t.Errorf("got %+v, want a failure of a request that may have run", got)
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -79,8 +79,8 @@
 // still has the request.
 func (x *exchange) copyPolicyRequest(first *serverLease) policy.Request {
 	request := x.policyRequest()
-	request.Beside = true
-	request.FirstBelief = first.belief
+	request.Parallel = true
+	request.FirstServerBelief = first.belief
 	request.Exclude = slices.Concat(request.Exclude, []string{first.Server.ID})
 	return request
 }
@@ -156,5 +156,5 @@
 // markAbandoned records that the request was cancelled before the server responded.
 func (x *exchange) markAbandoned(lease *serverLease) {
 	lease.done.Outcome = policy.Abandoned
-	lease.done.Took = lease.attempt.duration
+	lease.done.Elapsed = lease.attempt.duration
 }
--- a/internal/dispatch/homes.go
+++ b/internal/dispatch/homes.go
@@ -31,7 +31,7 @@
 
 // viewFor returns the part of a service view that a request may use.
 func (d *Dispatcher) viewFor(req *Request, whole *world.ServiceView) *world.ServiceView {
-	if !req.Homes.Bound() {
+	if !req.Homes.Restricted() {
 		return whole
 	}
 	d.homes.mu.Lock()
@@ -43,7 +43,7 @@
 	if d.homes.views == nil || len(d.homes.views) >= maxHomeViews {
 		d.homes.views = make(map[homeViewKey]homeView)
 	}
-	filtered := whole.Within(func(dataCentre string) bool { return req.Homes.Allow(d.conf.Regions, dataCentre) })
+	filtered := whole.InDataCentres(func(dataCentre string) bool { return req.Homes.Allows(d.conf.Regions, dataCentre) })
 	d.homes.views[key] = homeView{source: whole, filtered: filtered}
 	return filtered
 }
@@ -51,7 +51,7 @@
 // refuseIfNoneInHome returns a refusal if none of the service's servers is in the request's
 // home regions, else nil. whole is the unfiltered service view.
 func (x *exchange) refuseIfNoneInHome(whole *world.ServiceView) *Refusal {
-	if !x.req.Homes.Bound() || len(x.view.Backends) > 0 || len(whole.Backends) == 0 {
+	if !x.req.Homes.Restricted() || len(x.view.Backends) > 0 || len(whole.Backends) == 0 {
 		return nil
 	}
 	err := x.outsideHome("no backend server of " + x.req.Service + " is in the home regions of the request: " + x.req.Homes.String())
@@ -59,17 +59,17 @@
 }
 
 func (x *exchange) outsideHome(message string) *errs.Error {
-	return errs.New(errs.KindOutsideHome, message, "start servers in a home region, or change home_regions")
+	return errs.New(errs.KindOutsideHomeRegion, message, "start servers in a home region, or change home_regions")
 }
 
-// claimHosts returns the hosts that may hold the claim on the request's idempotency key.
-func (x *exchange) claimHosts() claims.Claimable {
-	claimable := claims.Claimable{Hosts: x.snap.Claimants, Addresses: x.snap.ClaimantAddress}
-	if !x.req.Homes.Bound() {
+// claimCandidates returns the hosts that may hold the claim on the request's idempotency key.
+func (x *exchange) claimCandidates() claims.Candidates {
+	claimable := claims.Candidates{Hosts: x.snap.ClaimCandidates, Addresses: x.snap.ClaimCandidateAddresses}
+	if !x.req.Homes.Restricted() {
 		return claimable
 	}
 	claimable.Hosts = nil
-	for _, node := range x.snap.Claimants {
+	for _, node := range x.snap.ClaimCandidates {
 		if x.mayHoldClaim(node) {
 			claimable.Hosts = append(claimable.Hosts, node)
 		}
@@ -78,5 +78,5 @@
 }
 
 func (x *exchange) mayHoldClaim(node rendezvous.Node) bool {
-	return x.req.Homes.Allow(x.d.conf.Regions, node.Zone)
+	return x.req.Homes.Allows(x.d.conf.Regions, node.Zone)
 }
--- a/internal/dispatch/lease.go
+++ b/internal/dispatch/lease.go
@@ -20,7 +20,7 @@
 	// Borrowed is set if the slot belongs to another owner host.
 	Borrowed bool
 	// done is what is known of the outcome so far.
-	done policy.Done
+	done policy.Result
 	// attempt is the log record of this send. balanced is the balancer's lease, nil with owner
 	// hosts.
 	attempt  *attempt
@@ -31,7 +31,7 @@
 	// maxIdle is how long a connection may have been idle to be used for the request, 0 for no
 	// limit.
 	maxIdle    time.Duration
-	finish     func(policy.Done)
+	finish     func(policy.Result)
 	reportLoad func(protocol.Load)
 }
 
@@ -56,14 +56,14 @@
 	return &serverLease{
 		Server:     lease.Server,
 		Borrowed:   lease.Borrowed,
-		done:       policy.Done{Outcome: policy.Neutral},
-		finish:     func(policy.Done) { lease.Release() },
+		done:       policy.Result{Outcome: policy.Neutral},
+		finish:     func(policy.Result) { lease.Release() },
 		reportLoad: func(load protocol.Load) { lease.Report(load.Running) },
 	}
 }
 
 func balancedLease(lease *balance.Lease) *serverLease {
-	l := &serverLease{Server: lease.Server, done: policy.Done{Outcome: policy.Neutral}, finish: lease.Finish, balanced: lease}
+	l := &serverLease{Server: lease.Server, done: policy.Result{Outcome: policy.Neutral}, finish: lease.Finish, balanced: lease}
 	l.belief, l.load, l.maxIdle = lease.Belief, lease.Load, lease.MaxIdle
 	l.reportLoad = func(load protocol.Load) { l.done.Load = &load }
 	return l
@@ -102,15 +102,15 @@
 		DataCentre:   x.snap.Self.DataCentre,
 		Group:        x.req.Group,
 		Objective:    x.req.Objective,
-		First:        x.attemptsArrived == 0 && x.unsentFailures == 0 && x.inFlight == 0,
-		Repeat:       x.attemptsArrived > 0 || x.inFlight > 0,
-		Last:         x.attemptsRun+x.inFlight+1 >= x.req.maxAttempts(),
+		FirstAttempt: x.attemptsArrived == 0 && x.unsentFailures == 0 && x.inFlight == 0,
+		Retry:        x.attemptsArrived > 0 || x.inFlight > 0,
+		LastAttempt:  x.attemptsRun+x.inFlight+1 >= x.req.maxAttempts(),
 		Fleet:        x.fleetSize(),
 		Exclude:      x.tried,
 		Availability: x.d.availability.Now(),
 		RateLimits:   x.snap.RateLimits,
 		Priority:     x.req.Priority,
-		Asked:        x.start,
+		ReceivedAt:   x.start,
 		Deadline:     x.req.Deadline,
 	}
 }
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -23,7 +23,7 @@
 func (r *Request) subject() quarantine.Subject {
 	r.subjectOnce.Do(func() {
 		credentials := r.credentials()
-		r.cachedSubject.Content = content.Of(content.Request{
+		r.cachedSubject.Content = content.NewID(content.Request{
 			Method:      r.in.Method,
 			Host:        hostname(r.in.Host),
 			Target:      r.in.URL.RequestURI(),
@@ -33,7 +33,7 @@
 			Streamed:    !r.body.buffered,
 		})
 		if caller := r.caller(); caller != "" {
-			r.cachedSubject.Caller = content.Of(content.Request{
+			r.cachedSubject.Caller = content.NewID(content.Request{
 				Host:        hostname(r.in.Host),
 				Target:      r.Service + " " + r.Group,
 				Customer:    caller,
@@ -75,7 +75,7 @@
 	if !r.body.buffered && !r.body.streamed {
 		return ""
 	}
-	return r.subject().Content.Label()
+	return r.subject().Content.Short()
 }
 
 // checkQuarantine returns a refusal if the request is quarantined because it ends the servers
@@ -112,10 +112,10 @@
 // reports the server if it has ended.
 func (x *exchange) recordFate(lease *serverLease) { lease.attempt.fate = x.fateOf(lease).String() }
 
-func (x *exchange) fateOf(lease *serverLease) upstream.Fate {
-	fate := x.d.fates.Of(lease.Server.Address)
-	if fate == upstream.FateEnded && x.isEvidence(lease) {
-		x.d.quarantine.Ended(x.req.subject(), x.req.Service, lease.Server.ID)
+func (x *exchange) fateOf(lease *serverLease) upstream.Liveness {
+	fate := x.d.fates.Check(lease.Server.Address)
+	if fate == upstream.LivenessEnded && x.isEvidence(lease) {
+		x.d.quarantine.RecordCrash(x.req.subject(), x.req.Service, lease.Server.ID)
 	}
 	return fate
 }
@@ -140,6 +140,6 @@
 		return
 	}
 	if len(x.req.body.data) <= maxServedBodyBytes || x.d.quarantine.Active() {
-		x.d.quarantine.Served(x.req.subject())
+		x.d.quarantine.RecordAnswer(x.req.subject())
 	}
 }
--- a/internal/dispatch/ratelimit.go
+++ b/internal/dispatch/ratelimit.go
@@ -17,17 +17,17 @@
 // RateLimits keeps the combined request rate of all hosts to a backend server within the rate
 // limit that the server reports.
 type RateLimits interface {
-	// Heard records what a response reports about its server's limit. sentAt is when the
+	// RecordLimit records what a response reports about its server's limit. sentAt is when the
 	// request was sent.
-	Heard(server process.Server, sentAt time.Time, reported protocol.RateLimit)
+	RecordLimit(server process.Server, sentAt time.Time, reported protocol.RateLimit)
 	// Take requests a token, the right to send one request to a server. The error is that of
 	// ctx.
 	Take(ctx context.Context, limit ratelimit.Limit) (quota.Verdict, error)
 	// Return gives back the token of a request of which no byte was sent.
 	Return(server process.Server)
-	// Promise returns after which time a request that any of these servers can run may be
+	// ReserveRetry returns after which time a request that any of these servers can run may be
 	// repeated.
-	Promise(servers []process.Server) time.Duration
+	ReserveRetry(servers []process.Server) time.Duration
 }
 
 // tokenLifetime is how long a token is valid. A host that was paused for longer would exceed
@@ -56,7 +56,7 @@
 	case err != nil:
 		return nil, errs.Wrap(err, errs.KindCanceled, "caller disconnected", "nothing to do")
 	case !verdict.OK:
-		x.d.availability.NoteNoRoom(to.server, verdict.AskAgain)
+		x.d.availability.MarkRateLimited(to.server, verdict.Backoff)
 		return nil, x.rateLimitError(to, "its rate limit is used up by the requests of all hosts")
 	}
 	return &sendToken{server: to.server, takenAt: boottime.Now()}, nil
@@ -79,8 +79,8 @@
 }
 
 func (x *exchange) rateLimitError(to destination, why string) *errs.Error {
-	x.d.metrics.SendWithheld(availability.NoRoom.String())
-	return errs.New(errs.KindNoRoom, "backend server "+to.server.ID+" was not sent the request: "+why, "repeat the request after the time in Retry-After")
+	x.d.metrics.SendWithheld(availability.RateLimited.String())
+	return errs.New(errs.KindServerRateLimit, "backend server "+to.server.ID+" was not sent the request: "+why, "repeat the request after the time in Retry-After")
 }
 
 // returnToken gives back an unused token.
--- a/internal/dispatch/refusal.go
+++ b/internal/dispatch/refusal.go
@@ -51,7 +51,7 @@
 	switch err.Kind {
 	case errs.KindDeadline:
 		status = http.StatusGatewayTimeout
-	case errs.KindClaimHeld:
+	case errs.KindDuplicateRequest:
 		status = http.StatusConflict
 	}
 	return &Refusal{Outcome: OutcomeUnknown, Status: status, Err: err}
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -100,9 +100,9 @@
 	return defaultMaxAttempts
 }
 
-// Bound replaces the deadline by a route's timeout if that is sooner, so that the caller has
+// LimitDeadline replaces the deadline by a route's timeout if that is sooner, so that the caller has
 // its final response in time.
-func (r *Request) Bound(timeout time.Duration) {
+func (r *Request) LimitDeadline(timeout time.Duration) {
 	if timeout <= 0 {
 		return
 	}
--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -34,7 +34,7 @@
 func (x *exchange) streamResponse(ctx context.Context, lease *serverLease, response *upstream.Answer) {
 	x.headerArrived()
 	x.status = response.StatusCode
-	x.d.metrics.Added(x.req.Service, time.Since(x.start)-response.FirstByte)
+	x.d.metrics.AddedLatency(x.req.Service, time.Since(x.start)-response.FirstByte)
 	source := lease
 	copier := &responseCopier{
 		w:        x.w,
--- a/internal/dispatch/result.go
+++ b/internal/dispatch/result.go
@@ -50,7 +50,7 @@
 
 // handleNotRun records that the server did not run the request.
 func (x *exchange) handleNotRun(lease *serverLease, response *upstream.Answer) *Refusal {
-	response.Finish()
+	response.DrainAndClose()
 	lease.attempt.finish("not-run/" + strconv.Itoa(response.StatusCode))
 	if x.isMisdirected(response) {
 		// Another server has the address: the intended one is gone.
@@ -59,7 +59,7 @@
 	} else {
 		x.recordShed(lease)
 	}
-	return refuse(x.written, errs.New(errs.KindShed, "backend server "+lease.Server.ID+" shed the request", "repeat the request after the time in Retry-After"))
+	return refuse(x.written, errs.New(errs.KindServerShed, "backend server "+lease.Server.ID+" shed the request", "repeat the request after the time in Retry-After"))
 }
 
 // handleMismatch discards a response that belongs to another request or is not from the
@@ -69,7 +69,7 @@
 	lease.attempt.finish("wrong-answer")
 	x.tried = append(x.tried, lease.Server.ID)
 	x.observe(lease, peerpb.Observation_KIND_FAILED, 0)
-	x.d.events.Record(event.RequestWrong, x.req.Service, lease.Server.ID, "response carries another request's ID, or no signature")
+	x.d.events.Record(event.AnswerWrong, x.req.Service, lease.Server.ID, "response carries another request's ID, or no signature")
 	return refuseUnknown(errs.New(errs.KindWrongAnswer, "backend server "+lease.Server.ID+" sent a response that does not belong to this request", "ask for the outcome before repeating a non-idempotent request"))
 }
 
@@ -105,10 +105,10 @@
 		x.streamResponse(ctx, lease, response)
 		return true, nil
 	}
-	response.Finish()
+	response.DrainAndClose()
 	lease.attempt.finish("error/" + strconv.Itoa(response.StatusCode))
 	x.observe(lease, peerpb.Observation_KIND_FAILED, response.FirstByte)
-	return false, refuseUnknown(errs.New(errs.KindBroken, "backend server "+lease.Server.ID+" responded with a server error", "repeat the request"))
+	return false, refuseUnknown(errs.New(errs.KindAnswerBroken, "backend server "+lease.Server.ID+" responded with a server error", "repeat the request"))
 }
 
 // isMisdirected reports whether the server that responded is not the intended one.
@@ -127,7 +127,7 @@
 	if success && proto.Signature != "" && response.Header.Get(proto.Signature) == "" {
 		return false
 	}
-	if proto.PlainBodies && response.Header.Get("Content-Encoding") != "" {
+	if proto.IdentityEncodingOnly && response.Header.Get("Content-Encoding") != "" {
 		return false
 	}
 	return x.echoesRequestID(response, view)
--- a/internal/dispatch/roundtrip.go
+++ b/internal/dispatch/roundtrip.go
@@ -49,7 +49,7 @@
 	defer func() {
 		if cause := recover(); cause != nil {
 			klog.ErrorS(nil, "panic while sending a request", "request", x.req.ID, "service", x.req.Service, "cause", cause, "stack", string(debug.Stack()))
-			result = sendResult{failure: upstream.Interrupted()}
+			result = sendResult{failure: upstream.InternalFailure()}
 		}
 	}()
 	return x.roundTrip(ctx, to)
@@ -62,7 +62,7 @@
 	result := sendResult{response: response, reported: reported, failure: failure}
 	switch {
 	case failure != nil:
-	case x.isMisdirected(response), x.d.proto.NotRunBy(response.Header):
+	case x.isMisdirected(response), x.d.proto.IsNotRun(response.Header):
 		result.kind = responseNotRun
 	case !x.isResponseTo(response, to.view):
 		result.kind = responseMismatched
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -83,7 +83,7 @@
 	if err := x.checkToken(to, t); err != nil {
 		return err
 	}
-	if world.Passed(now, x.req.Deadline) {
+	if world.HasPassed(now, x.req.Deadline) {
 		return errs.New(errs.KindDeadline, "the deadline passed before the request was sent", "allow more time")
 	}
 	if x.req.Idempotent {
@@ -117,11 +117,11 @@
 	x.written = true
 	x.attemptsRun++
 	x.attemptsArrived++
-	if typed.Kind == errs.KindBroken {
+	if typed.Kind == errs.KindAnswerBroken {
 		x.recordFate(lease)
 	}
 	lease.done.Reused = failure.Reused
-	lease.done.Took = lease.attempt.duration
+	lease.done.Elapsed = lease.attempt.duration
 	lease.done.TimedOut = typed.Kind == errs.KindDeadline
 	x.observe(lease, peerpb.Observation_KIND_FAILED, 0)
 	x.tried = append(x.tried, lease.Server.ID)
@@ -132,10 +132,10 @@
 // or a new one broke at once. A kept-alive connection that the server has closed is no sign of
 // a fault.
 func isUnreachable(failure *upstream.Failure, kind errs.Kind) bool {
-	if !failure.Dialled {
+	if !failure.Connected {
 		return kind == errs.KindDialFailed
 	}
-	return kind == errs.KindBroken && !failure.Reused
+	return kind == errs.KindAnswerBroken && !failure.Reused
 }
 
 func (x *exchange) observe(lease *serverLease, kind peerpb.Observation_Kind, firstByte time.Duration) {
--- a/internal/dispatch/serverstate.go
+++ b/internal/dispatch/serverstate.go
@@ -41,7 +41,7 @@
 	}
 	reported := x.d.proto.ReadServerState(time.Now(), response.StatusCode, response.Header)
 	x.d.recordServerState(to.server, reported)
-	x.d.rateLimits.Heard(to.server, sentAt, reported.Limit)
+	x.d.rateLimits.RecordLimit(to.server, sentAt, reported.Limit)
 	return response, reported, nil
 }
 
@@ -55,13 +55,13 @@
 
 // recordServerState records the state that a server reports, and emits events for changes.
 func (d *Dispatcher) recordServerState(server process.Server, reported protocol.ServerState) {
-	change := d.availability.Learn(server, reported)
+	change := d.availability.Record(server, reported)
 	if change.BeganLeaving {
-		d.metrics.ServerSaid(availability.Leaving.String())
+		d.metrics.ServerStateReported(availability.Leaving.String())
 		d.recordStateEvent(event.BackendLeaving, server, "the server reports that it accepts no new requests")
 	}
 	if change.BeganRest {
-		d.metrics.ServerSaid(availability.Resting.String())
+		d.metrics.ServerStateReported(availability.Resting.String())
 		d.recordStateEvent(event.BackendResting, server, "the server asked for rest: no requests from this host for "+reported.Rest.String())
 	}
 	if change.Returned {
@@ -70,10 +70,10 @@
 }
 
 func (d *Dispatcher) recordStateEvent(number event.Number, server process.Server, detail string) {
-	if !d.stateEventLimit.Allows(time.Now()) {
+	if !d.stateEventLimit.Allow(time.Now()) {
 		return
 	}
-	if missed := d.stateEventLimit.TakeMissed(); missed > 0 {
+	if missed := d.stateEventLimit.TakeSuppressed(); missed > 0 {
 		klog.InfoS("suppressed events about reported server states", "missed", missed)
 	}
 	d.events.Record(number, server.Service, server.ID, detail)
@@ -98,7 +98,7 @@
 	if reported.Limit.Named {
 		parts = append(parts, "limit:"+formatRate(reported.Limit.PerSecond))
 	}
-	if reported.Limit.Unreadable != "" {
+	if reported.Limit.Invalid != "" {
 		parts = append(parts, "unreadable-limit")
 	}
 	return strings.Join(parts, ",")
@@ -123,10 +123,10 @@
 	switch {
 	case reason == availability.Available:
 		return ""
-	case state.SaidAt.IsZero():
+	case state.ReportedAt.IsZero():
 		return reason.String()
 	default:
-		return fmt.Sprintf("%s:said-%s-ago", reason, now.Sub(state.SaidAt).Round(time.Millisecond))
+		return fmt.Sprintf("%s:said-%s-ago", reason, now.Sub(state.ReportedAt).Round(time.Millisecond))
 	}
 }
 
@@ -143,7 +143,7 @@
 	if to.server.ID == "" {
 		return nil // an owner host
 	}
-	if !x.req.Homes.Allow(x.d.conf.Regions, to.dataCentre) {
+	if !x.req.Homes.Allows(x.d.conf.Regions, to.dataCentre) {
 		x.d.metrics.SendWithheld("home-region")
 		return x.outsideHome("backend server " + to.server.ID + " is outside the home regions of the request")
 	}
@@ -151,10 +151,10 @@
 	switch reason {
 	case availability.Leaving:
 		x.d.metrics.SendWithheld(reason.String())
-		return errs.New(errs.KindLeaving, "backend server "+to.server.ID+" reported that it is leaving before the request was sent", "repeat the request")
+		return errs.New(errs.KindServerLeaving, "backend server "+to.server.ID+" reported that it is leaving before the request was sent", "repeat the request")
 	case availability.Resting:
 		x.d.metrics.SendWithheld(reason.String())
-		return errs.New(errs.KindResting, "backend server "+to.server.ID+" asked for rest before the request was sent", "repeat the request")
+		return errs.New(errs.KindServerResting, "backend server "+to.server.ID+" asked for rest before the request was sent", "repeat the request")
 	default:
 		return x.checkRotation(to)
 	}
@@ -167,32 +167,32 @@
 		return nil
 	}
 	x.d.metrics.SendWithheld("out-of-rotation")
-	return errs.New(errs.KindLeaving, "backend server "+to.server.ID+" left the rotation before the request was sent", "repeat the request")
+	return errs.New(errs.KindServerLeaving, "backend server "+to.server.ID+" left the rotation before the request was sent", "repeat the request")
 }
 
 // isWithheld reports whether a send was stopped before its first byte because of the server's
 // known state. Such a failure is no new information about the server.
 func isWithheld(kind errs.Kind) bool {
-	return kind == errs.KindLeaving || kind == errs.KindResting || kind == errs.KindNoRoom || kind == errs.KindOutsideHome
+	return kind == errs.KindServerLeaving || kind == errs.KindServerResting || kind == errs.KindServerRateLimit || kind == errs.KindOutsideHomeRegion
 }
 
 // refuseIfNoneAvailable returns a refusal if all servers report that they are leaving or want
 // rest, or have no room in their rate limits, else nil. Retry-After is when the first of them
 // accepts requests again.
 func (x *exchange) refuseIfNoneAvailable() *Refusal {
-	absence, none := x.d.availability.Now().AbsenceOf(x.req.Service, x.view.Backends)
+	absence, none := x.d.availability.Now().UnavailabilityOf(x.req.Service, x.view.Backends)
 	switch {
 	case !none:
 		return nil
 	case absence.Reason == availability.Leaving:
-		return refuseNotRun(errs.New(errs.KindLeaving, "all backend servers of "+x.req.Service+" report that they are leaving", "repeat the request after the time in Retry-After; start other servers"), defaultRetryAfter)
-	case absence.Reason == availability.NoRoom:
-		after := max(x.d.rateLimits.Promise(x.limitedServers()), absence.Left)
+		return refuseNotRun(errs.New(errs.KindServerLeaving, "all backend servers of "+x.req.Service+" report that they are leaving", "repeat the request after the time in Retry-After; start other servers"), defaultRetryAfter)
+	case absence.Reason == availability.RateLimited:
+		after := max(x.d.rateLimits.ReserveRetry(x.limitedServers()), absence.Remaining)
 		text := "all backend servers of " + x.req.Service + " have no room in the rate limits that they report, for this request again in " + after.Round(time.Millisecond).String()
-		return refuseNotRun(errs.New(errs.KindNoRoom, text, "repeat the request after the time in Retry-After; add capacity"), after)
+		return refuseNotRun(errs.New(errs.KindServerRateLimit, text, "repeat the request after the time in Retry-After; add capacity"), after)
 	default:
-		left := absence.Left.Round(time.Millisecond).String()
-		return refuseNotRun(errs.New(errs.KindResting, "all backend servers of "+x.req.Service+" asked for rest, the first for another "+left, "repeat the request after the time in Retry-After; add capacity"), absence.Left)
+		left := absence.Remaining.Round(time.Millisecond).String()
+		return refuseNotRun(errs.New(errs.KindServerResting, "all backend servers of "+x.req.Service+" asked for rest, the first for another "+left, "repeat the request after the time in Retry-After; add capacity"), absence.Remaining)
 	}
 }
 
--- a/internal/dispatch/serverstate_test.go
+++ b/internal/dispatch/serverstate_test.go
@@ -57,7 +57,7 @@
 	if !slices.Contains(calls["checkBeforeWrite"], "x.checkToken") {
 		t.Error("the token is not checked before the first byte")
 	}
-	if !slices.Contains(calls["sendToServer"], "x.d.rateLimits.Heard") {
+	if !slices.Contains(calls["sendToServer"], "x.d.rateLimits.RecordLimit") {
 		t.Error("rate limits reported in responses are not recorded")
 	}
 }
@@ -114,7 +114,7 @@
 // omitted.
 func TestFormatKnownState(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	said := availability.State{SaidAt: now.Add(-20 * time.Millisecond)}
+	said := availability.State{ReportedAt: now.Add(-20 * time.Millisecond)}
 	for want, row := range map[string]struct {
 		reason availability.Reason
 		state  availability.State
@@ -122,7 +122,7 @@
 		"":                      {availability.Available, said},
 		"leaving:said-20ms-ago": {availability.Leaving, said},
 		"resting:said-20ms-ago": {availability.Resting, said},
-		"no-room":               {availability.NoRoom, availability.State{}},
+		"no-room":               {availability.RateLimited, availability.State{}},
 	} {
 		if got := formatKnownState(row.reason, row.state, now); got != want {
 			t.Errorf("got %q, want %q", got, want)
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -121,7 +121,7 @@
 // requestLog limits the log lines about requests.
 type requestLog struct {
 	routine atomic.Uint64
-	limit   *logging.Limit
+	limit   *logging.LineLimiter
 }
 
 // shouldLog reports whether a request is logged: all that failed, were refused, retried or
@@ -130,7 +130,7 @@
 	if routine && l.routine.Add(1)%sampleOneIn != 0 {
 		return false
 	}
-	return l.limit.Allows(now)
+	return l.limit.Allow(now)
 }
 
 // slowAfter is the duration from which a served request counts as slow.
@@ -148,8 +148,8 @@
 	x.d.logLine(x.req, routine, refusal, x.status, took, &x.trace)
 }
 
-// Refused records a request that was refused before it reached Serve.
-func (d *Dispatcher) Refused(req *Request, refusal *Refusal) {
+// RecordRefusal records a request that was refused before it reached Serve.
+func (d *Dispatcher) RecordRefusal(req *Request, refusal *Refusal) {
 	if refusal.Err.Kind == errs.KindCustomerLimit && d.balance != nil {
 		d.balance.NoteLimited(req.Service)
 	}
@@ -183,5 +183,5 @@
 		"version", snap.Revisions[world.KeyPublished],
 		"servers", servers,
 		"tries", t.String(),
-		"missed", d.requestLog.limit.TakeMissed())
+		"missed", d.requestLog.limit.TakeSuppressed())
 }
--- a/internal/dispatch/trial.go
+++ b/internal/dispatch/trial.go
@@ -26,7 +26,7 @@
 // says whether the server has recovered. It returns false if p is not a trial, has used up its
 // time, or the caller has disconnected: no work is done for a caller that is gone.
 func (x *exchange) detachTrial(p *pendingSend) bool {
-	left := p.lease.balanced.TrialFor - time.Since(p.lease.attempt.startedAt)
+	left := p.lease.balanced.TrialTimeout - time.Since(p.lease.attempt.startedAt)
 	if left <= 0 || x.req.in.Context().Err() != nil || !p.detach() {
 		return false
 	}
@@ -44,10 +44,10 @@
 // recordTrial records the outcome of a trial whose caller has already been answered. It does
 // not modify the exchange, which has ended.
 func (x *exchange) recordTrial(lease *serverLease, result sendResult) {
-	lease.done.Took = time.Since(lease.attempt.startedAt)
+	lease.done.Elapsed = time.Since(lease.attempt.startedAt)
 	if result.failure != nil {
 		lease.done.Unsent = !result.failure.Written
-		x.recordFailedTrial(lease, toTypedError(result.failure.Unwrap()).Kind, result.failure.Dialled)
+		x.recordFailedTrial(lease, toTypedError(result.failure.Unwrap()).Kind, result.failure.Connected)
 		return
 	}
 	response := result.response
@@ -67,7 +67,7 @@
 		x.recordServed(response.StatusCode)
 		x.observe(lease, peerpb.Observation_KIND_GOOD, response.FirstByte)
 	}
-	response.Finish()
+	response.DrainAndClose()
 }
 
 func (x *exchange) recordFailedTrial(lease *serverLease, kind errs.Kind, dialled bool) {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -42,8 +42,8 @@
 	Probe(p world.Probe)
 	SyncWith(address string)
 	Event(e event.Event)
-	// Reading sets whether this host should watch the platform.
-	Reading(reader bool)
+	// SetReading sets whether this host should watch the platform.
+	SetReading(reader bool)
 	// StopRequested is called on each tick while an operator's stop directive
 	// for this host is in force.
 	StopRequested()
@@ -65,9 +65,9 @@
 	// Forwarding is whether requests are forwarded to owner hosts, which divide
 	// the slots of the backend servers among themselves.
 	Forwarding bool
-	// Documents are the keys of the platform documents that a host requires. If
+	// RequiredDocuments are the keys of the platform documents that a host requires. If
 	// nil, it uses the built-in index and host list.
-	Documents []string
+	RequiredDocuments []string
 	// DirectAfter and DirectSpread are passed to configsync.Config.
 	DirectAfter  time.Duration
 	DirectSpread time.Duration
@@ -129,17 +129,17 @@
 	e.world.Suspended = e.conf.Suspended()
 	e.members = membership.New(conf.Membership, e, e.queue, now)
 	e.world.DirectPicking = !conf.Forwarding
-	if conf.Documents != nil {
-		e.world.Required = conf.Documents
-		e.world.Polled = conf.Documents
+	if conf.RequiredDocuments != nil {
+		e.world.Required = conf.RequiredDocuments
+		e.world.Polled = conf.RequiredDocuments
 		e.world.ActiveReaders = 1 // other hosts take over if it fails
 	}
 	e.documents = configsync.New(now, configsync.Config{
-		Seed:         conf.Seed,
-		DirectAfter:  conf.DirectAfter,
-		DirectSpread: conf.DirectSpread,
-		First:        slices.Contains(conf.Seeds, conf.Self.Address),
-		StandIn:      conf.Documents != nil,
+		Seed:           conf.Seed,
+		DirectAfter:    conf.DirectAfter,
+		DirectSpread:   conf.DirectSpread,
+		IsSeed:         slices.Contains(conf.Seeds, conf.Self.Address),
+		ReaderFailover: conf.RequiredDocuments != nil,
 	})
 	e.systems = []world.System{placement.System{}, e.documents}
 	if conf.Forwarding { // otherwise the balancer judges the backend servers
@@ -173,7 +173,7 @@
 	for _, address := range e.members.SyncTargets(now, e.peers) {
 		e.effects.SyncWith(address)
 	}
-	e.effects.Reading(configsync.IsReader(e.world))
+	e.effects.SetReading(configsync.IsReader(e.world))
 	if e.stopRequested() {
 		e.effects.StopRequested()
 	}
@@ -197,8 +197,8 @@
 	if e.pauseEndedAt.IsZero() {
 		return
 	}
-	alone := e.members.Live() <= 1
-	if alone || e.members.LastHeard().After(e.pauseEndedAt) {
+	alone := e.members.LiveCount() <= 1
+	if alone || e.members.LastContact().After(e.pauseEndedAt) {
 		e.pauseEndedAt = time.Time{}
 		e.world.Record(now, event.HostFresh, "", "", "")
 	}
@@ -256,7 +256,7 @@
 }
 
 func (e *Engine) dispatchOutbox(now time.Time) {
-	out := e.world.Out.Take()
+	out := e.world.Outbox.Take()
 	for _, ev := range out.Events {
 		e.effects.Event(ev)
 	}
@@ -307,7 +307,7 @@
 }
 
 func (e *Engine) isReady(now time.Time) bool {
-	return (e.joined(now) || e.conf.Documents != nil) && configsync.Current(e.world)
+	return (e.joined(now) || e.conf.RequiredDocuments != nil) && configsync.UpToDate(e.world)
 }
 
 // hostListComplete reports whether the host list may be considered complete.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -25,7 +25,7 @@
 func (noEffects) Probe(world.Probe)                  {}
 func (noEffects) SyncWith(string)                    {}
 func (noEffects) Event(event.Event)                  {}
-func (noEffects) Reading(bool)                       {}
+func (noEffects) SetReading(bool)                    {}
 func (noEffects) StopRequested()                     {}
 func (noEffects) Ticked(time.Duration, *world.World) {}
 
@@ -51,14 +51,14 @@
 	e.Merge(epoch, []*peerpb.Member{{Host: "h2", Address: "10.0.0.2:1", DataCentre: "dc1", Incarnation: 1}}, []*peerpb.Register{{
 		Key: configsync.HeadKey("services/main"), Value: head, Stamp: &peerpb.Stamp{Revision: 9, Host: "h2"},
 	}}, 0)
-	e.Synced()
-	e.Document(epoch, world.KeyIndex, 2, []byte("shards: {main: 1}\n"))
-	e.Document(epoch, "services/main", 1, []byte("services: []\n"))
+	e.MarkSynced()
+	e.HandleDocument(epoch, world.KeyIndex, 2, []byte("shards: {main: 1}\n"))
+	e.HandleDocument(epoch, "services/main", 1, []byte("services: []\n"))
 	e.Step(epoch.Add(100 * time.Millisecond))
 	if e.Ready() {
 		t.Fatal("ready with revision 1 although revision 9 was announced")
 	}
-	e.Document(epoch, "services/main", 9, []byte("services: []\n"))
+	e.HandleDocument(epoch, "services/main", 9, []byte("services: []\n"))
 	e.Step(epoch.Add(200 * time.Millisecond))
 	if !e.Ready() {
 		t.Fatal("not ready with the announced revision")
--- a/internal/engine/fuzz_test.go
+++ b/internal/engine/fuzz_test.go
@@ -68,7 +68,7 @@
 	f.Add("services/main", []byte(`{"customers":[{"name":"acme","key_digests":["x"],"per_second":1e308}]}`))
 	f.Fuzz(func(t *testing.T, key string, raw []byte) {
 		e := newEngine()
-		e.Document(epoch, key, 2, raw)
+		e.HandleDocument(epoch, key, 2, raw)
 		e.Step(epoch.Add(100 * time.Millisecond))
 	})
 }
--- a/internal/engine/inputs.go
+++ b/internal/engine/inputs.go
@@ -26,29 +26,29 @@
 	e.clock.Observe(now, hlc.Timestamp(d.Clock))
 	e.mergeRegisters(now, d.Registers)
 	if d.Kind == peerpb.Datagram_KIND_HEARTBEAT {
-		e.documents.Heartbeat(e.world, now, d)
+		e.documents.HandleHeartbeat(e.world, now, d)
 	}
 	if d.Evidence != nil {
-		e.detection.Report(e.world, now, d.Evidence)
+		e.detection.AddReport(e.world, now, d.Evidence)
 	}
 	e.effects.Send(e.members.Receive(now, address, d))
 }
 
-// Document handles a document received from the platform or a peer.
-func (e *Engine) Document(now time.Time, key string, revision uint64, raw []byte) {
+// HandleDocument handles a document received from the platform or a peer.
+func (e *Engine) HandleDocument(now time.Time, key string, revision uint64, raw []byte) {
 	configsync.Accept(e.world, now, key, revision, raw)
 	if e.world.ServicesChanged {
 		e.detection.Forget(e.world)
 	}
 }
 
-// FetchedNothing records that a fetch ended without returning the document.
-func (e *Engine) FetchedNothing(now time.Time, key string) {
-	configsync.FetchedNothing(e.world, now, key)
+// FetchFailed records that a fetch ended without returning the document.
+func (e *Engine) FetchFailed(now time.Time, key string) {
+	configsync.FetchFailed(e.world, now, key)
 }
 
 // PlatformAnswered records that the platform has answered this host's watch.
-func (e *Engine) PlatformAnswered(now time.Time) { e.documents.Answered(e.world, now) }
+func (e *Engine) PlatformAnswered(now time.Time) { e.documents.PlatformAnswered(e.world, now) }
 
 // Write stamps and stores a register written by this host and gossips it.
 func (e *Engine) Write(now time.Time, r *peerpb.Register) {
@@ -66,7 +66,7 @@
 			all = append(all, name)
 		}
 	}
-	e.world.Out.Urgent = append(e.world.Out.Urgent, world.Urgent{To: all, Register: r})
+	e.world.Outbox.Urgent = append(e.world.Outbox.Urgent, world.Urgent{To: all, Register: r})
 }
 
 // Record adds an event to this host's timeline.
@@ -78,7 +78,7 @@
 func (e *Engine) mergeRegisters(now time.Time, registers []*peerpb.Register) {
 	for _, r := range registers {
 		if !e.clock.Observe(now, hlc.Timestamp(r.GetStamp().GetClock())) {
-			e.world.Record(now, event.RegisterFuture, "", "", fmt.Sprintf("timestamp of register %s from %s is too far ahead of this host's clock", r.Key, r.Stamp.Host))
+			e.world.Record(now, event.RegisterFromFuture, "", "", fmt.Sprintf("timestamp of register %s from %s is too far ahead of this host's clock", r.Key, r.Stamp.Host))
 			continue
 		}
 		if !e.world.Registers.Merge(now, r) {
@@ -126,7 +126,7 @@
 	e.clock.Observe(now, hlc.Timestamp(clock))
 	e.members.Merge(now, members)
 	e.mergeRegisters(now, registers)
-	e.members.Heard(now)
+	e.members.RecordContact(now)
 }
 
 // AnswerSync handles a full sync request from another host. The other host first sends
@@ -136,7 +136,7 @@
 	switch {
 	case len(req.Members) > 0:
 		e.Merge(now, req.Members, req.Registers, req.Clock)
-		e.Synced()
+		e.MarkSynced()
 		return &peerpb.SyncResponse{}
 	case req.Digest == e.Digest():
 		return &peerpb.SyncResponse{Same: true}
@@ -157,8 +157,8 @@
 	return resp, len(resp.GetDocument()) == 0 && now.Before(doc.Fetching), err
 }
 
-// Synced records that a full state sync with a peer has completed.
-func (e *Engine) Synced() { e.synced = true }
+// MarkSynced records that a full state sync with a peer has completed.
+func (e *Engine) MarkSynced() { e.synced = true }
 
 // SetLeaving starts a planned stop; Leave completes it.
 func (e *Engine) SetLeaving(now time.Time) {
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -59,7 +59,7 @@
 // a delay of idleTickFactor intervals.
 func (e *Engine) idle() bool {
 	return e.ready && e.pauseEndedAt.IsZero() && !e.world.Leaving && !e.conf.Forwarding &&
-		e.world.Settled && !configsync.Active(e.world, e.lastTick) && e.members.Calm()
+		e.world.Settled && !configsync.NeedsTick(e.world, e.lastTick) && e.members.Idle()
 }
 
 // Input runs an input and ticks immediately if the input requires it. It must be called
@@ -82,7 +82,7 @@
 	if w.RateLimitsChanged {
 		return true // hosts that do not know the limit yet exceed it
 	}
-	return e.conf.Documents != nil && (len(w.Out.Fetches) > 0 || w.HeadsChanged || w.ServicesChanged || e.headAnnounced)
+	return e.conf.RequiredDocuments != nil && (len(w.Outbox.Fetches) > 0 || w.HeadsChanged || w.ServicesChanged || e.headAnnounced)
 }
 
 // Post queues an input for the loop. It returns false if the inbox is full.
--- a/internal/engine/servers_test.go
+++ b/internal/engine/servers_test.go
@@ -38,19 +38,19 @@
 	t.Helper()
 	h := &directHost{t: t}
 	h.Engine = engine.New(engine.Config{
-		Self:       world.Identity{Host: "h1", Address: "10.0.0.1:1", DataCentre: "dc1"},
-		Tick:       100 * time.Millisecond,
-		Freshness:  time.Second,
-		Membership: membership.Config{Host: "h1", Address: "10.0.0.1:1", DataCentre: "dc1", ProbeInterval: time.Second, ProbeTimeout: 400 * time.Millisecond, GossipInterval: 100 * time.Millisecond},
-		Documents:  []string{world.KeyPublished, world.KeyDiscovered},
-		Suspended:  func() time.Duration { return 0 },
+		Self:              world.Identity{Host: "h1", Address: "10.0.0.1:1", DataCentre: "dc1"},
+		Tick:              100 * time.Millisecond,
+		Freshness:         time.Second,
+		Membership:        membership.Config{Host: "h1", Address: "10.0.0.1:1", DataCentre: "dc1", ProbeInterval: time.Second, ProbeTimeout: 400 * time.Millisecond, GossipInterval: 100 * time.Millisecond},
+		RequiredDocuments: []string{world.KeyPublished, world.KeyDiscovered},
+		Suspended:         func() time.Duration { return 0 },
 	}, &hlc.Clock{}, &h.fetches, epoch)
 	var others []*peerpb.Member
 	for n := range otherHosts {
 		others = append(others, &peerpb.Member{Host: fmt.Sprint("other", n), Address: fmt.Sprintf("10.9.0.%d:1", n+1), DataCentre: "dc1", Incarnation: 1})
 	}
 	h.Merge(epoch, others, nil, 0)
-	h.Document(epoch, world.KeyPublished, 1, []byte(`{"services":[{"name":"shop"}]}`))
+	h.HandleDocument(epoch, world.KeyPublished, 1, []byte(`{"services":[{"name":"shop"}]}`))
 	list := &config.Discovered{}
 	for n := range servers {
 		list.Backends = append(list.Backends, registered(n, 1))
@@ -84,7 +84,7 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.Document(epoch, world.KeyDiscovered, revision, raw)
+	h.HandleDocument(epoch, world.KeyDiscovered, revision, raw)
 	h.Step(epoch)
 }
 
--- a/internal/engine/serviceview.go
+++ b/internal/engine/serviceview.go
@@ -62,7 +62,7 @@
 	if len(joined)+len(left) == 0 {
 		return rings
 	}
-	return rings.With(joined, left)
+	return rings.Updated(joined, left)
 }
 
 func ringServer(b *world.BackendView) sharing.Server {
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -33,7 +33,7 @@
 	MemberRefuted        Number = 206
 	ConfigApplied        Number = 301
 	ConfigRefused        Number = 302
-	ConfigOlder          Number = 303
+	ConfigOlderIgnored   Number = 303
 	PlatformLost         Number = 304
 	PlatformBack         Number = 305
 	ListIncomplete       Number = 306
@@ -45,10 +45,10 @@
 	BackendVoteEnded     Number = 404
 	BackendEjected       Number = 405
 	BackendReturned      Number = 406
-	BackendKeptFloor     Number = 407
+	BackendKeptForFloor  Number = 407
 	BackendLeaving       Number = 408
 	BackendPathFault     Number = 409
-	HostDistrustsSelf    Number = 410
+	HostDistrustsItself  Number = 410
 	BackendMisregistered Number = 411
 	BackendResting       Number = 412
 	BackendAvailable     Number = 413
@@ -60,8 +60,8 @@
 	DirectiveAccepted    Number = 501
 	DirectiveRefused     Number = 502
 	DirectiveMerged      Number = 503
-	RegisterFuture       Number = 504
-	RequestWrong         Number = 601
+	RegisterFromFuture   Number = 504
+	AnswerWrong          Number = 601
 	RequestDuplicate     Number = 602
 	DownloadResumed      Number = 603
 	ObservationsLost     Number = 604
@@ -85,7 +85,7 @@
 	MemberRefuted:        "member-refuted",
 	ConfigApplied:        "config-applied",
 	ConfigRefused:        "config-refused",
-	ConfigOlder:          "config-older-ignored",
+	ConfigOlderIgnored:   "config-older-ignored",
 	PlatformLost:         "platform-lost",
 	PlatformBack:         "platform-back",
 	ListIncomplete:       "list-incomplete",
@@ -97,10 +97,10 @@
 	BackendVoteEnded:     "backend-vote-ended",
 	BackendEjected:       "backend-ejected",
 	BackendReturned:      "backend-returned",
-	BackendKeptFloor:     "backend-kept-for-floor",
+	BackendKeptForFloor:  "backend-kept-for-floor",
 	BackendLeaving:       "backend-leaving",
 	BackendPathFault:     "backend-path-fault",
-	HostDistrustsSelf:    "host-distrusts-itself",
+	HostDistrustsItself:  "host-distrusts-itself",
 	BackendMisregistered: "backend-misregistered",
 	BackendResting:       "backend-resting",
 	BackendAvailable:     "backend-available",
@@ -112,8 +112,8 @@
 	DirectiveAccepted:    "directive-accepted",
 	DirectiveRefused:     "directive-refused",
 	DirectiveMerged:      "directive-merged",
-	RegisterFuture:       "register-from-future",
-	RequestWrong:         "answer-wrong",
+	RegisterFromFuture:   "register-from-future",
+	AnswerWrong:          "answer-wrong",
 	RequestDuplicate:     "request-duplicate",
 	DownloadResumed:      "download-resumed",
 	ObservationsLost:     "observations-lost",
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -116,7 +116,7 @@
 // server answers quickly, whereas an error after the typical latency points to the request.
 func (l *Logs) errorCause(r line, last attempt) Cause {
 	typical := l.typicalLatency(r.fields["service"])
-	if typical > 0 && float64(last.took) > policy.QuickErrorShare*float64(typical) {
+	if typical > 0 && float64(last.took) > policy.FastErrorShare*float64(typical) {
 		return Cause{CauseRequestError, fmt.Sprintf("server %s worked on it for %s, about its typical latency (%s), and answered an error: most likely the request's own", last.server, last.took, typical) + retryNote(r)}
 	}
 	if last.belief >= failingBelief {
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -104,7 +104,7 @@
 // resting or at its rate limit.
 func (t attempt) withheld() bool {
 	switch errs.Kind(t.result) {
-	case errs.KindLeaving, errs.KindResting, errs.KindNoRoom:
+	case errs.KindServerLeaving, errs.KindServerResting, errs.KindServerRateLimit:
 		return true
 	default:
 		return false
--- a/internal/frontend/customer.go
+++ b/internal/frontend/customer.go
@@ -21,13 +21,13 @@
 	}
 	req.HideKey = true
 	var holder *customer.Customer
-	if key, ok := customer.KeyOf(r.Header); ok {
-		holder = snap.Customers.Holder(key)
+	if key, ok := customer.BearerKey(r.Header); ok {
+		holder = snap.Customers.ByKey(key)
 	}
 	switch {
 	case holder != nil:
 		req.Customer = holder.Name
-		req.Homes = req.Homes.And(holder.Homes)
+		req.Homes = req.Homes.Intersect(holder.Homes)
 		if holder.Priority != nil {
 			req.Priority = *holder.Priority
 		}
@@ -45,7 +45,7 @@
 
 // recordRefusal logs and counts a refusal, and returns it as an error.
 func (f *Frontend) recordRefusal(req *dispatch.Request, refusal *dispatch.Refusal) error {
-	f.dispatcher.Refused(req, refusal)
+	f.dispatcher.RecordRefusal(req, refusal)
 	f.metrics.Request(req.Service, string(refusal.Outcome), 0)
 	return refusal
 }
@@ -53,7 +53,7 @@
 // enforceLimit refuses a request that exceeds the customer's limit. It runs before the body is read,
 // so that a refused request takes no queue slot and none of the retry budget.
 func (f *Frontend) enforceLimit(ctx context.Context, req *dispatch.Request, holder *customer.Customer) error {
-	if holder == nil || holder.Limit.None() {
+	if holder == nil || holder.Limit.Unlimited() {
 		return nil
 	}
 	ok, retryAfter := f.conf.Limiter.Allow(ctx, holder.Name, holder.Limit)
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -38,8 +38,8 @@
 // Dispatcher handles requests that the frontend has accepted.
 type Dispatcher interface {
 	Serve(w http.ResponseWriter, req *dispatch.Request) error
-	// Refused records a request that was refused before Serve.
-	Refused(req *dispatch.Request, refusal *dispatch.Refusal)
+	// RecordRefusal records a request that was refused before Serve.
+	RecordRefusal(req *dispatch.Request, refusal *dispatch.Refusal)
 }
 
 // Limiter enforces customer limits across all hosts.
@@ -148,7 +148,7 @@
 	if IsForwarded(r) {
 		return r.Header.Get(protocol.HeaderRequestID)
 	}
-	if f.conf.Protocol.CallerNamesRequests {
+	if f.conf.Protocol.KeepCallerRequestID {
 		if id := r.Header.Get(f.conf.Protocol.RequestID); id != "" {
 			return id
 		}
@@ -192,7 +192,7 @@
 	if err := f.setDeadline(req, r, snap); err != nil {
 		return err
 	}
-	req.Bound(match.Timeout)
+	req.LimitDeadline(match.Timeout)
 	if err := f.enforceLimit(r.Context(), req, holder); err != nil {
 		return err
 	}
@@ -249,8 +249,8 @@
 func localHomes(snap *world.Snapshot, r *http.Request, req *dispatch.Request) region.Homes {
 	match, _ := snap.Routes.Lookup(hostName(r), r.Method, r.URL.Path)
 	homes := match.Homes
-	if holder := snap.Customers.Named(req.Customer); holder != nil {
-		homes = homes.And(holder.Homes)
+	if holder := snap.Customers.ByName(req.Customer); holder != nil {
+		homes = homes.Intersect(holder.Homes)
 	}
 	return homes
 }
--- a/internal/frontend/problem.go
+++ b/internal/frontend/problem.go
@@ -28,19 +28,19 @@
 
 // proxyErrors maps error kinds to Proxy-Status error types (RFC 9209, section 2.3).
 var proxyErrors = map[errs.Kind]string{
-	errs.KindDialFailed:    "connection_refused",
-	errs.KindDeadline:      "http_response_timeout",
-	errs.KindBroken:        "connection_terminated",
-	errs.KindNoBackend:     "destination_unavailable",
-	errs.KindNoRoute:       "destination_not_found",
-	errs.KindQueueFull:     "connection_limit_reached",
-	errs.KindQueueTimeout:  "connection_limit_reached",
-	errs.KindShed:          "destination_unavailable",
-	errs.KindWrongAnswer:   "http_protocol_error",
-	errs.KindBadRequest:    "http_request_error",
-	errs.KindCustomerLimit: "http_request_denied",
-	errs.KindUnknownKey:    "http_request_denied",
-	errs.KindQuarantined:   "http_request_denied",
+	errs.KindDialFailed:      "connection_refused",
+	errs.KindDeadline:        "http_response_timeout",
+	errs.KindAnswerBroken:    "connection_terminated",
+	errs.KindNoBackendServer: "destination_unavailable",
+	errs.KindNoRoute:         "destination_not_found",
+	errs.KindQueueFull:       "connection_limit_reached",
+	errs.KindQueueTimeout:    "connection_limit_reached",
+	errs.KindServerShed:      "destination_unavailable",
+	errs.KindWrongAnswer:     "http_protocol_error",
+	errs.KindBadRequest:      "http_request_error",
+	errs.KindCustomerLimit:   "http_request_denied",
+	errs.KindUnknownKey:      "http_request_denied",
+	errs.KindQuarantined:     "http_request_denied",
 }
 
 const defaultProxyError = "proxy_internal_response"
@@ -51,7 +51,7 @@
 		refusal = &dispatch.Refusal{
 			Outcome: dispatch.OutcomeUnknown,
 			Status:  http.StatusInternalServerError,
-			Err:     errs.Wrap(err, errs.KindBroken, "request failed", "see the host's log"),
+			Err:     errs.Wrap(err, errs.KindAnswerBroken, "request failed", "see the host's log"),
 		}
 	}
 	h := w.Header()
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -83,8 +83,8 @@
 	<-w.done
 }
 
-// Use directs klog's output to w, up to the given verbosity.
-func Use(w *Writer, verbosity int) error {
+// SetKlogOutput directs klog's output to w, up to the given verbosity.
+func SetKlogOutput(w *Writer, verbosity int) error {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
 	settings := map[string]string{
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -90,8 +90,8 @@
 	m.paused[7] = true
 	m.run(20 * time.Second)
 	for i, l := range m.lists {
-		if i != 7 && l.Live() != 19 {
-			t.Errorf("host %d counts %d live hosts, want 19", i, l.Live())
+		if i != 7 && l.LiveCount() != 19 {
+			t.Errorf("host %d counts %d live hosts, want 19", i, l.LiveCount())
 		}
 	}
 }
@@ -134,8 +134,8 @@
 		}
 	}
 	m.run(20 * time.Second)
-	if m.lists[0].Live() != 3 || m.lists[5].Live() != 3 {
-		t.Fatalf("want 3 live hosts on each side, got %d and %d", m.lists[0].Live(), m.lists[5].Live())
+	if m.lists[0].LiveCount() != 3 || m.lists[5].LiveCount() != 3 {
+		t.Fatalf("want 3 live hosts on each side, got %d and %d", m.lists[0].LiveCount(), m.lists[5].LiveCount())
 	}
 	clear(m.blocked)
 	for range 20 {
@@ -147,8 +147,8 @@
 		}
 	}
 	for i, l := range m.lists {
-		if l.Live() != 6 {
-			t.Errorf("host %d counts %d live hosts after the partition, want 6", i, l.Live())
+		if l.LiveCount() != 6 {
+			t.Errorf("host %d counts %d live hosts after the partition, want 6", i, l.LiveCount())
 		}
 	}
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -37,9 +37,9 @@
 	return out
 }
 
-// Calm reports whether the next tick has nothing pending: no probe is unanswered, no member is
+// Idle reports whether the next tick has nothing pending: no probe is unanswered, no member is
 // suspected and no change is queued.
-func (l *List) Calm() bool {
+func (l *List) Idle() bool {
 	return l.probe == nil && len(l.table.suspects) == 0 && l.queue.Len() == 0 && l.bootstrapSyncs == len(bootstrapSyncAges)
 }
 
@@ -158,7 +158,7 @@
 // one, and at most the fraction that a uniform choice among all hosts would give.
 func (l *List) remoteShare(view *view) float64 {
 	local, remote := float64(len(view.local)+1), float64(len(view.remote))
-	transmits := float64(gossip.TransmitLimit(l.Live())) * local
+	transmits := float64(gossip.TransmitLimit(l.LiveCount())) * local
 	return min(remoteTransmits*remote/local/transmits, remote/(local+remote))
 }
 
@@ -180,7 +180,7 @@
 // packet completes a datagram with the sender and with queued changes.
 func (l *List) packet(to string, d *peerpb.Datagram) Packet {
 	d.From = l.conf.Host
-	l.queue.Fill(d, l.Live())
+	l.queue.Fill(d, l.LiveCount())
 	return Packet{To: to, Datagram: d}
 }
 
@@ -296,7 +296,7 @@
 	}
 	l.bootstrapSyncs++
 	local := l.table.currentView(l.conf.Host).local
-	if l.Live() > bootstrapSyncMaxHosts && len(local) > 0 {
+	if l.LiveCount() > bootstrapSyncMaxHosts && len(local) > 0 {
 		return []string{local[l.rng.IntN(len(local))].Address}
 	}
 	targets := slices.Clone(known)
@@ -311,7 +311,7 @@
 // reconnectInterval returns the period of reconnection attempts, which is shorter while this host
 // knows no other live host.
 func (l *List) reconnectInterval() time.Duration {
-	if l.Live() > 1 {
+	if l.LiveCount() > 1 {
 		return l.conf.ReconnectInterval
 	}
 	return min(l.conf.ReconnectInterval, l.conf.ProbeInterval/2)
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -93,14 +93,14 @@
 	return r.member
 }
 
-// Live returns the number of hosts that are alive or suspect.
-func (l *List) Live() int { return l.table.live }
+// LiveCount returns the number of hosts that are alive or suspect.
+func (l *List) LiveCount() int { return l.table.live }
 
-// LastHeard returns when another host last sent a datagram or answered a call.
-func (l *List) LastHeard() time.Time { return l.lastContact }
+// LastContact returns when another host last sent a datagram or answered a call.
+func (l *List) LastContact() time.Time { return l.lastContact }
 
-// Heard records that another host answered a synchronous call.
-func (l *List) Heard(now time.Time) { l.lastContact = now }
+// RecordContact records that another host answered a synchronous call.
+func (l *List) RecordContact(now time.Time) { l.lastContact = now }
 
 func isLive(m *peerpb.Member) bool {
 	return m.Liveness == peerpb.Liveness_LIVENESS_ALIVE || m.Liveness == peerpb.Liveness_LIVENESS_SUSPECT
@@ -135,7 +135,7 @@
 // Merge merges the rows received in a full-state comparison with another host.
 func (l *List) Merge(now time.Time, members []*peerpb.Member) {
 	for _, m := range members {
-		l.mergeMember(now, m, func(m *peerpb.Member) { l.queue.AddSyncedMember(m, l.Live()) })
+		l.mergeMember(now, m, func(m *peerpb.Member) { l.queue.AddSyncedMember(m, l.LiveCount()) })
 	}
 }
 
--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -29,12 +29,12 @@
 	return &Budget{limit: int64(bodyFraction * float64(hostBytes))}
 }
 
-// Take reserves n bytes that must be held, and reports whether there is room. Reserved bytes must
+// TryAcquire reserves n bytes that must be held, and reports whether there is room. Reserved bytes must
 // be released with Return.
-func (b *Budget) Take(n int64) bool { return b.tryAcquire(n, b.limit) }
+func (b *Budget) TryAcquire(n int64) bool { return b.tryAcquire(n, b.limit) }
 
-// TakeOptional is Take for bytes that need not be held. It leaves room for those that must.
-func (b *Budget) TakeOptional(n int64) bool {
+// TryAcquireOptional is Take for bytes that need not be held. It leaves room for those that must.
+func (b *Budget) TryAcquireOptional(n int64) bool {
 	return b.tryAcquire(n, int64(optionalFraction*float64(b.limit)))
 }
 
@@ -46,8 +46,8 @@
 	return false
 }
 
-// Return releases n reserved bytes.
-func (b *Budget) Return(n int64) { b.held.Add(-n) }
+// Release releases n reserved bytes.
+func (b *Budget) Release(n int64) { b.held.Add(-n) }
 
-// Held returns the number of bytes reserved now.
-func (b *Budget) Held() int64 { return b.held.Load() }
+// InUse returns the number of bytes reserved now.
+func (b *Budget) InUse() int64 { return b.held.Load() }
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -18,24 +18,24 @@
 	for range 8 {
 		wg.Go(func() {
 			for range 1000 {
-				if budget.TakeOptional(one) {
+				if budget.TryAcquireOptional(one) {
 					optional.Add(one)
 				}
 			}
 		})
 	}
 	wg.Wait()
-	if held := optional.Load(); held != host/8 || budget.Held() != held {
-		t.Errorf("%d optional bytes held, %d in total", held, budget.Held())
+	if held := optional.Load(); held != host/8 || budget.InUse() != held {
+		t.Errorf("%d optional bytes held, %d in total", held, budget.InUse())
 	}
-	for budget.Take(one) {
+	for budget.TryAcquire(one) {
 		must.Add(one)
 	}
 	if held := must.Load() + optional.Load(); held != host/4 {
 		t.Errorf("%d bytes held of a host's %d", held, host)
 	}
-	budget.Return(optional.Load())
-	if !budget.Take(one) || budget.TakeOptional(one) {
+	budget.Release(optional.Load())
+	if !budget.TryAcquire(one) || budget.TryAcquireOptional(one) {
 		t.Error("returned bytes are not available, or are available to optional reservations")
 	}
 }
--- a/internal/metrics/balance.go
+++ b/internal/metrics/balance.go
@@ -23,8 +23,8 @@
 	retries  *prometheus.Desc
 }
 
-// WatchBalance exports the statistics of a balancer.
-func (m *Metrics) WatchBalance(source balanceSource) {
+// RegisterBalance exports the statistics of a balancer.
+func (m *Metrics) RegisterBalance(source balanceSource) {
 	label := []string{"service"}
 	m.registerer.MustRegister(&balanceCollector{
 		source:   source,
--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -18,9 +18,9 @@
 	sent   *prometheus.Desc
 }
 
-// WatchControl exports the number of bytes sent to other hosts, by kind of
+// RegisterControl exports the number of bytes sent to other hosts, by kind of
 // message.
-func (m *Metrics) WatchControl(source controlSource) {
+func (m *Metrics) RegisterControl(source controlSource) {
 	m.registerer.MustRegister(&controlCollector{
 		source: source,
 		sent:   prometheus.NewDesc("pearshelf_datagram_sent_bytes_total", "Bytes of datagrams sent to other hosts, by kind.", []string{"kind"}, nil),
--- a/internal/metrics/limits.go
+++ b/internal/metrics/limits.go
@@ -14,7 +14,7 @@
 // limitSource provides the usage that the collector reads on each scrape.
 type limitSource interface {
 	// Limits returns the customers that this host serves, busiest first.
-	Limits() []quota.Row
+	Limits() []quota.CustomerStatus
 }
 
 // limitCollector exports the usage of a host's busiest customers.
@@ -25,8 +25,8 @@
 	unreachableHomes *prometheus.Desc
 }
 
-// WatchLimits exports the usage of the busiest customers.
-func (m *Metrics) WatchLimits(source limitSource) {
+// RegisterCustomerLimits exports the usage of the busiest customers.
+func (m *Metrics) RegisterCustomerLimits(source limitSource) {
 	label := []string{"customer"}
 	m.registerer.MustRegister(&limitCollector{
 		source:           source,
@@ -47,19 +47,19 @@
 func (c *limitCollector) Collect(out chan<- prometheus.Metric) {
 	unheard := 0
 	for i, row := range c.source.Limits() {
-		if row.Unheard {
+		if row.HomeUnreachable {
 			unheard++
 		}
 		if i < maxCustomerLabels {
-			out <- prometheus.MustNewConstMetric(c.use, prometheus.GaugeValue, row.Use, row.Customer)
+			out <- prometheus.MustNewConstMetric(c.use, prometheus.GaugeValue, row.Rate, row.Customer)
 			out <- prometheus.MustNewConstMetric(c.refused, prometheus.GaugeValue, float64(row.Refused), row.Customer)
 		}
 	}
 	out <- prometheus.MustNewConstMetric(c.unreachableHomes, prometheus.GaugeValue, float64(unheard))
 }
 
-// Limited counts a request that was checked against its customer's limit.
-func (m *Metrics) Limited(allowed bool) {
+// CustomerLimitChecked counts a request that was checked against its customer's limit.
+func (m *Metrics) CustomerLimitChecked(allowed bool) {
 	m.customerLimited.WithLabelValues(strconv.FormatBool(allowed)).Inc()
 }
 
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -117,8 +117,8 @@
 	m.retries.WithLabelValues(service, strconv.FormatBool(allowed)).Inc()
 }
 
-// WatchLog exports the number of dropped log lines.
-func (m *Metrics) WatchLog(dropped func() int64) {
+// RegisterDroppedLogLines exports the number of dropped log lines.
+func (m *Metrics) RegisterDroppedLogLines(dropped func() int64) {
 	m.registerer.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "pearshelf_log_lines_dropped_total",
 		Help: "Log lines that a slow reader of standard output had no room for.",
@@ -133,9 +133,9 @@
 // make backend servers terminate.
 func (m *Metrics) Quarantined(service string) { m.quarantined.WithLabelValues(service).Inc() }
 
-// ServerSaid counts a backend server that began to report the given state about
+// ServerStateReported counts a backend server that began to report the given state about
 // itself.
-func (m *Metrics) ServerSaid(state string) { m.serverStates.WithLabelValues(state).Inc() }
+func (m *Metrics) ServerStateReported(state string) { m.serverStates.WithLabelValues(state).Inc() }
 
 // SendWithheld counts a send that was cancelled just before its first byte.
 func (m *Metrics) SendWithheld(reason string) { m.sendsWithheld.WithLabelValues(reason).Inc() }
@@ -146,8 +146,8 @@
 	m.rateLimited.WithLabelValues(strconv.FormatBool(allowed)).Inc()
 }
 
-// Added records the latency that the fleet added to a request on this host.
-func (m *Metrics) Added(service string, d time.Duration) {
+// AddedLatency records the latency that the fleet added to a request on this host.
+func (m *Metrics) AddedLatency(service string, d time.Duration) {
 	m.addedLatency.WithLabelValues(service).Observe(d.Seconds())
 }
 
@@ -155,11 +155,11 @@
 // loop did not keep up.
 func (m *Metrics) ObservationLost() { m.observationsLost.Inc() }
 
-// Tick records the duration of one tick of the control loop.
-func (m *Metrics) Tick(d time.Duration) { m.tickDuration.Observe(d.Seconds()) }
+// TickDuration records the duration of one tick of the control loop.
+func (m *Metrics) TickDuration(d time.Duration) { m.tickDuration.Observe(d.Seconds()) }
 
-// MembersLive sets the number of live hosts.
-func (m *Metrics) MembersLive(n int) { m.membersLive.Set(float64(n)) }
+// SetLiveHosts sets the number of live hosts.
+func (m *Metrics) SetLiveHosts(n int) { m.membersLive.Set(float64(n)) }
 
 // PlatformCall counts a call to the platform.
 func (m *Metrics) PlatformCall(err error) {
@@ -170,8 +170,8 @@
 	m.platformCalls.WithLabelValues(result).Inc()
 }
 
-// WatchHeldBytes exports the number of body bytes that the host buffers.
-func (m *Metrics) WatchHeldBytes(held func() int64) {
+// RegisterHeldBytes exports the number of body bytes that the host buffers.
+func (m *Metrics) RegisterHeldBytes(held func() int64) {
 	m.registerer.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "pearshelf_held_bytes",
 		Help: "Bytes of bodies that this host holds for callers and backend servers.",
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -41,17 +41,17 @@
 	reg := prometheus.NewRegistry()
 	m := metrics.New(reg)
 	table := balance.NewTable(time.Now, policy.Config{Cost: policy.DefaultCostRule(), Retry: policy.DefaultRetryRule()})
-	m.WatchBalance(table)
+	m.RegisterBalance(table)
 	view := &world.ServiceView{Backends: []world.BackendView{{ID: "b1", DataCentre: "dc1", Slots: 3, Weight: 1}}}
 	for _, outcome := range []policy.Outcome{policy.Failed, policy.Failed} {
-		lease, err := table.Pick(view, policy.Request{Service: "s", DataCentre: "dc1", First: true})
+		lease, err := table.Pick(view, policy.Request{Service: "s", DataCentre: "dc1", FirstAttempt: true})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if got := value(t, reg, "pearshelf_requests_in_flight"); got != 1 {
 			t.Errorf("%v requests in flight, want 1", got)
 		}
-		lease.Finish(policy.Done{Outcome: outcome})
+		lease.Finish(policy.Result{Outcome: outcome})
 	}
 	for name, want := range map[string]float64{"pearshelf_servers_known": 1, "pearshelf_servers_failing": 1, "pearshelf_requests_in_flight": 0} {
 		if got := value(t, reg, name); got != want {
@@ -63,7 +63,7 @@
 func TestRequestsRetriesAndLog(t *testing.T) {
 	reg := prometheus.NewRegistry()
 	m := metrics.New(reg)
-	m.WatchLog(func() int64 { return 7 })
+	m.RegisterDroppedLogLines(func() int64 { return 7 })
 	m.Request("s", "complete", time.Second)
 	m.Retry("s", true)
 	m.Retry("s", false)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -35,7 +35,7 @@
 // Outcomes of a write that have exit codes of their own.
 var (
 	// ErrUnconfirmed means that the write was accepted but has not reached every host yet.
-	ErrUnconfirmed = errs.New(errs.KindPeer, "not every host has confirmed", "repeat with a longer --timeout, or check the hosts with show hosts; the write continues to propagate")
+	ErrUnconfirmed = errs.New(errs.KindPeerUnreachable, "not every host has confirmed", "repeat with a longer --timeout, or check the hosts with show hosts; the write continues to propagate")
 	// ErrSuperseded means that a later write of another operator replaced this one.
 	ErrSuperseded = errs.New(errs.KindConflict, "superseded by another operator's write to the same field", "check the current value with show directives before repeating the write")
 )
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -84,11 +84,11 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/v1/keys/"+key+"?"+query.Encode(), nil)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.KindPlatform, "bad platform address", "correct platform.address in the settings")
+		return nil, errs.Wrap(err, errs.KindPlatformUnavailable, "bad platform address", "correct platform.address in the settings")
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.KindPlatform, "platform cannot be reached", remedyWait)
+		return nil, errs.Wrap(err, errs.KindPlatformUnavailable, "platform cannot be reached", remedyWait)
 	}
 	defer resp.Body.Close()
 	return read(key, resp)
@@ -100,18 +100,18 @@
 	case http.StatusNotModified:
 		return nil, nil
 	default:
-		return nil, errs.New(errs.KindPlatform, fmt.Sprintf("platform answered %d for %s", resp.StatusCode, key), remedyWait)
+		return nil, errs.New(errs.KindPlatformUnavailable, fmt.Sprintf("platform answered %d for %s", resp.StatusCode, key), remedyWait)
 	}
 	revision, err := strconv.ParseUint(strings.Trim(resp.Header.Get("ETag"), `"`), 10, 64)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.KindPlatform, "platform sent no revision in ETag", remedyWait)
+		return nil, errs.Wrap(err, errs.KindPlatformUnavailable, "platform sent no revision in ETag", remedyWait)
 	}
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, MaxValueBytes+1))
 	if err != nil {
-		return nil, errs.Wrap(err, errs.KindPlatform, "platform's answer broke off", remedyWait)
+		return nil, errs.Wrap(err, errs.KindPlatformUnavailable, "platform's answer broke off", remedyWait)
 	}
 	if len(raw) > MaxValueBytes {
-		return nil, errs.New(errs.KindPlatform, "platform sent more than a megabyte", "split the document into more shards")
+		return nil, errs.New(errs.KindPlatformUnavailable, "platform sent more than a megabyte", "split the document into more shards")
 	}
 	return &Value{Key: key, Revision: revision, Raw: raw}, nil
 }
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -38,7 +38,7 @@
 
 // admit refuses a request that even the best server would answer too late to be of use.
 func (t *Table) admit(now time.Time, svc *service, best choice, req Request) error {
-	if !t.has(MechanismStanding) || req.Deadline.IsZero() {
+	if !t.has(MechanismStandingQueue) || req.Deadline.IsZero() {
 		return nil
 	}
 	estimate := best.state.estimate(now, svc, t.typicalLatency(svc, req.Group), best.state.load(now))
@@ -47,7 +47,7 @@
 	if t.routeIfKnown(now, req.Group) != nil && svc.latencies.probabilityAfter(req.timeLeft(now), expected) > missedDeadlineThreshold {
 		return errs.New(errs.KindQueueFull, "no backend server of "+req.Service+" can answer before the request's deadline", "repeat the request after the time in Retry-After, or allow more time")
 	}
-	if !req.First {
+	if !req.FirstAttempt {
 		return nil
 	}
 	if t.routeIfKnown(now, req.Group) != nil && svc.mustYield(now, req, estimate) {
--- a/internal/policy/availability.go
+++ b/internal/policy/availability.go
@@ -20,7 +20,7 @@
 }
 
 func (r Request) reason(b *world.BackendView) availability.Reason {
-	if r.Availability.Nothing() {
+	if r.Availability.Empty() {
 		return availability.Available
 	}
 	reason, _ := r.Availability.Of(availability.ServerOf(r.Service, b))
--- a/internal/policy/availability_test.go
+++ b/internal/policy/availability_test.go
@@ -12,10 +12,10 @@
 )
 
 // reportedStates returns the availability that results from the reports of servers.
-func reportedStates(now time.Time, reports map[string]protocol.ServerState) availability.Moment {
+func reportedStates(now time.Time, reports map[string]protocol.ServerState) availability.TableView {
 	table := availability.NewTable(func() time.Time { return now })
 	for id, report := range reports {
-		table.Learn(process.Server{Service: "s", ID: id}, report)
+		table.Record(process.Server{Service: "s", ID: id}, report)
 	}
 	return table.Now()
 }
@@ -27,25 +27,25 @@
 		t.Run(name, func(t *testing.T) {
 			table, now := newTable()
 			v := view(3)
-			sendTo(t, table, now, v, "b0", Done{Outcome: Failed})
+			sendTo(t, table, now, v, "b0", Result{Outcome: Failed})
 			now = now.Add(10 * time.Second) // b0 is overdue for coverage and for a trial
 			moment := reportedStates(now, map[string]protocol.ServerState{"b0": report})
 			for _, idempotent := range []bool{true, false} {
 				for range 50 {
-					got := mustPick(t, table, now, v, Request{First: true, Idempotent: idempotent, Availability: moment})
+					got := mustPick(t, table, now, v, Request{FirstAttempt: true, Idempotent: idempotent, Availability: moment})
 					if got.Server.ID == "b0" {
 						t.Fatal("b0 is picked")
 					}
-					table.Finish(now, got, Done{Outcome: Good, FirstByte: time.Millisecond})
+					table.Finish(now, got, Result{Outcome: Good, FirstByte: time.Millisecond})
 				}
 			}
 			req := Request{Service: "s", DataCentre: "dc1", Idempotent: true, Availability: moment}
-			if got, due := table.Trial(now, v, req); due {
+			if got, due := table.PlaceTrial(now, v, req); due {
 				t.Errorf("%s is tried", got.Server.ID)
 			}
 			all := reportedStates(now, map[string]protocol.ServerState{"b0": report, "b1": report, "b2": report})
 			req.Availability = all
-			if _, err := table.Pick(now, v, req); errs.KindOf(err) != errs.KindNoBackend {
+			if _, err := table.Pick(now, v, req); errs.KindOf(err) != errs.KindNoBackendServer {
 				t.Errorf("no server available: %v", err)
 			}
 		})
@@ -58,17 +58,17 @@
 	at := now
 	reports := availability.NewTable(func() time.Time { return at })
 	server := process.Server{Service: "s", ID: "b0"}
-	reports.Learn(server, protocol.ServerState{Rest: time.Second})
+	reports.Record(server, protocol.ServerState{Rest: time.Second})
 	at = now.Add(time.Second)
 	table, _ := newTable()
 	v := view(1)
-	req := Request{Service: "s", DataCentre: "dc1", First: true, Availability: reports.Now()}
+	req := Request{Service: "s", DataCentre: "dc1", FirstAttempt: true, Availability: reports.Now()}
 	first := mustPick(t, table, at, v, req)
 	if _, err := table.Pick(at, v, req); err == nil {
 		t.Error("a second request goes to the server before the first is answered")
 	}
-	table.Finish(at, first, Done{Outcome: Good, FirstByte: time.Millisecond})
-	reports.Learn(server, protocol.ServerState{})
+	table.Finish(at, first, Result{Outcome: Good, FirstByte: time.Millisecond})
+	reports.Record(server, protocol.ServerState{})
 	req.Availability = reports.Now()
 	mustPick(t, table, at, v, req)
 	mustPick(t, table, at, v, req)
@@ -93,11 +93,11 @@
 	const picks = 60
 	for range picks {
 		now = now.Add(100 * time.Millisecond)
-		got := mustPick(t, table, now, v, Request{First: true, RateLimits: limits})
+		got := mustPick(t, table, now, v, Request{FirstAttempt: true, RateLimits: limits})
 		if got.Server.ID == "b0" {
 			limited++
 		}
-		table.Finish(now, got, Done{Outcome: Good, FirstByte: time.Millisecond})
+		table.Finish(now, got, Result{Outcome: Good, FirstByte: time.Millisecond})
 	}
 	if limited == 0 || limited > picks/6 {
 		t.Errorf("the rate-limited server got %d of %d requests", limited, picks)
@@ -106,12 +106,12 @@
 	if got := mustPick(t, table, now, v, req); got.Server.ID != "b0" {
 		t.Errorf("picked %s, want b0, the only server not excluded", got.Server.ID)
 	}
-	req.Beside, req.Service, req.DataCentre = true, "s", "dc1"
+	req.Parallel, req.Service, req.DataCentre = true, "s", "dc1"
 	if got, err := table.Pick(now, v, req); err == nil {
 		t.Errorf("a copy is sent to rate-limited %s", got.Server.ID)
 	}
-	sendTo(t, table, now, v, "b0", Done{Outcome: Failed})
-	if got, due := table.Trial(now.Add(10*time.Second), v, req); due {
+	sendTo(t, table, now, v, "b0", Result{Outcome: Failed})
+	if got, due := table.PlaceTrial(now.Add(10*time.Second), v, req); due {
 		t.Errorf("%s is tried", got.Server.ID)
 	}
 }
--- a/internal/policy/copies.go
+++ b/internal/policy/copies.go
@@ -26,10 +26,10 @@
 	copyAllowanceCost = 0.3
 )
 
-// Review reports whether a copy of a request that waits on a server should be sent now and, if not,
+// ReviewCopy reports whether a copy of a request that waits on a server should be sent now and, if not,
 // when to call Review again; 0 means never. req.Exclude lists the servers that have received the
 // request, including that of p.
-func (t *Table) Review(now time.Time, view *world.ServiceView, req Request, p *Placement) (copyNow bool, after time.Duration) {
+func (t *Table) ReviewCopy(now time.Time, view *world.ServiceView, req Request, p *Placement) (copyNow bool, after time.Duration) {
 	if !t.has(MechanismCopies) {
 		return false, 0
 	}
@@ -55,7 +55,7 @@
 	if !used.allowsOne() {
 		return false
 	}
-	req.Repeat = true
+	req.Retry = true
 	best := t.choose(now, view, req)
 	if best.server == nil {
 		return false
@@ -135,10 +135,10 @@
 
 // elapsed is the time since this host received the request.
 func (r Request) elapsed(now time.Time) time.Duration {
-	if r.Asked.IsZero() {
+	if r.ReceivedAt.IsZero() {
 		return 0
 	}
-	return now.Sub(r.Asked)
+	return now.Sub(r.ReceivedAt)
 }
 
 // allows reports whether the request may be sent to a server: the server takes such requests and
@@ -147,7 +147,7 @@
 	if b.IdempotentOnly && !r.Idempotent {
 		return false
 	}
-	if r.Beside && r.isLimited(b) {
+	if r.Parallel && r.isLimited(b) {
 		return false // reserved for requests that no server is processing
 	}
 	return !slices.Contains(r.Exclude, b.ID) && r.isAvailable(b)
--- a/internal/policy/counts.go
+++ b/internal/policy/counts.go
@@ -16,7 +16,7 @@
 }
 
 // add counts one outcome.
-func (c *counts) add(done Done) {
+func (c *counts) add(done Result) {
 	switch done.Outcome {
 	case Good:
 		c.good++
--- a/internal/policy/breadth.go
+++ b/internal/policy/coverage.go
@@ -87,7 +87,7 @@
 // that is spent.
 func (t *Table) coverage(now time.Time, view *world.ServiceView, req Request, spent float64) coverage {
 	need := t.coverageRule(now, req, spent)
-	need.tryUntried = req.Idempotent && !req.Last || t.conf.Random.Float64() < untriedRequestShare
+	need.tryUntried = req.Idempotent && !req.LastAttempt || t.conf.Random.Float64() < untriedRequestShare
 	svc := t.service(req.Service)
 	candidates, used := 0, 0
 	servers := view.Candidates()
@@ -115,13 +115,13 @@
 // coverageRule returns which servers must be in use, and what share of them.
 func (t *Table) coverageRule(now time.Time, req Request, spent float64) coverage {
 	switch {
-	case t.has(MechanismTrouble) && t.service(req.Service).isDegraded(now):
+	case t.has(MechanismDegraded) && t.service(req.Service).isDegraded(now):
 		return coverage{includeFailing: true, cooldown: degradedFailureCooldown, serverShare: degradedCoverageShare, maxRequestShare: degradedRequestShare}
-	case t.has(MechanismTrouble) && t.service(req.Service).isHeavilyLimited(now):
+	case t.has(MechanismDegraded) && t.service(req.Service).isHeavilyLimited(now):
 		return coverage{includeAll: !t.mayHaveTrials(req) || spent >= trialAllowance, serverShare: 1, maxRequestShare: degradedRequestShare}
 	case t.mayHaveTrials(req):
 		return coverage{cooldown: failureCooldown, serverShare: idempotentCoverageShare, maxRequestShare: normalRequestShare}
-	case req.Idempotent && !req.Last && spent < coverageAllowance:
+	case req.Idempotent && !req.LastAttempt && spent < coverageAllowance:
 		return coverage{includeFailing: true, cooldown: failureCooldown, serverShare: idempotentCoverageShare, maxRequestShare: normalRequestShare}
 	default:
 		return coverage{cooldown: failureCooldown, serverShare: coverageShare, maxRequestShare: normalRequestShare}
@@ -138,7 +138,7 @@
 // mayHaveTrials reports whether copies of the request are used to try servers believed to be
 // failing, so that its first send need not go there.
 func (t *Table) mayHaveTrials(req Request) bool {
-	return req.Idempotent && !req.Last && t.has(MechanismTrials)
+	return req.Idempotent && !req.LastAttempt && t.has(MechanismTrials)
 }
 
 // isDegraded reports whether many requests of this data centre are unserved, over the whole window
@@ -172,7 +172,7 @@
 }
 
 // recordOutcome counts an outcome of a request of this host.
-func (svc *service) recordOutcome(now time.Time, done Done) {
+func (svc *service) recordOutcome(now time.Time, done Result) {
 	switch done.Outcome {
 	case Good:
 		svc.served.add(now, outcomeWindow, 1)
--- a/internal/policy/breadth_test.go
+++ b/internal/policy/coverage_test.go
@@ -15,7 +15,7 @@
 	table, now := newTable()
 	v := view(servers)
 	for i := range servers {
-		sendTo(t, table, now, v, fmt.Sprint("b", i), Done{Outcome: Good, FirstByte: 200 * time.Millisecond})
+		sendTo(t, table, now, v, fmt.Sprint("b", i), Result{Outcome: Good, FirstByte: 200 * time.Millisecond})
 	}
 	svc := table.service("s")
 	svc.unserved.add(now, outcomeWindow, 100)
@@ -29,7 +29,7 @@
 	svc.recordSends(later, 100)
 	used := make(map[string]bool)
 	for range servers {
-		used[mustPick(t, table, later, v, Request{First: true}).Server.ID] = true
+		used[mustPick(t, table, later, v, Request{FirstAttempt: true}).Server.ID] = true
 	}
 	if len(used) < servers*9/10 {
 		t.Errorf("%d of %d servers used", len(used), servers)
@@ -44,7 +44,7 @@
 		v := view(10)
 		for _, id := range []string{"b0", "b1", "b2"} {
 			for range 2 {
-				sendTo(t, table, now, v, id, Done{Outcome: Failed, FirstByte: time.Millisecond})
+				sendTo(t, table, now, v, id, Result{Outcome: Failed, FirstByte: time.Millisecond})
 			}
 		}
 		now = now.Add(failureCooldown + 100*time.Millisecond)
@@ -53,11 +53,11 @@
 		}
 		toFailing := 0
 		for range 60 {
-			p := mustPick(t, table, now, v, Request{First: true})
+			p := mustPick(t, table, now, v, Request{FirstAttempt: true})
 			if p.Server.ID <= "b2" {
 				toFailing++
 			}
-			table.Finish(now, p, Done{Outcome: Good, FirstByte: 200 * time.Millisecond})
+			table.Finish(now, p, Result{Outcome: Good, FirstByte: 200 * time.Millisecond})
 			now = now.Add(10 * time.Millisecond)
 		}
 		if used := toFailing > 1; used != (limited > 0) {
@@ -71,25 +71,25 @@
 // 1.8 s all the same. With six of eleven servers skipped like this, healthy servers had no request
 // for 2 s while many requests were unserved.
 func TestUnsentRequestDoesNotCountAsUse(t *testing.T) {
-	for name, unsent := range map[string]Done{
+	for name, unsent := range map[string]Result{
 		"kept connection was closed": {Outcome: Neutral, Unsent: true},
 		"no connection":              {Outcome: Unreachable, Unsent: true},
 	} {
 		table, now := newTable()
 		v := view(8)
 		for _, b := range v.Backends {
-			sendTo(t, table, now, v, b.ID, Done{Outcome: Good, FirstByte: 100 * time.Millisecond})
+			sendTo(t, table, now, v, b.ID, Result{Outcome: Good, FirstByte: 100 * time.Millisecond})
 		}
 		now = now.Add(inUsePeriod + time.Millisecond)
-		p := mustPick(t, table, now, v, Request{First: true})
+		p := mustPick(t, table, now, v, Request{FirstAttempt: true})
 		row := table.servers[p.key]
 		table.Finish(now.Add(time.Millisecond), p, unsent)
 		if now.Sub(row.lastSent) <= inUsePeriod {
 			t.Errorf("%s: the server counts as in use", name)
 		}
-		later := mustPick(t, table, now, v, Request{First: true})
+		later := mustPick(t, table, now, v, Request{FirstAttempt: true})
 		row = table.servers[later.key]
-		table.Finish(now.Add(time.Millisecond), later, Done{Outcome: Good, FirstByte: time.Millisecond})
+		table.Finish(now.Add(time.Millisecond), later, Result{Outcome: Good, FirstByte: time.Millisecond})
 		if now.Sub(row.lastSent) > inUsePeriod {
 			t.Errorf("%s: a server that has answered does not count as in use", name)
 		}
@@ -102,7 +102,7 @@
 	table, now := newTable()
 	v := view(2)
 	for _, b := range v.Backends {
-		sendTo(t, table, now, v, b.ID, Done{Outcome: Good, FirstByte: 100 * time.Millisecond})
+		sendTo(t, table, now, v, b.ID, Result{Outcome: Good, FirstByte: 100 * time.Millisecond})
 	}
 	row := table.servers[key{"s", "b0"}]
 	before := row.lastSent
--- a/internal/policy/patience.go
+++ b/internal/policy/deadline.go
@@ -28,10 +28,10 @@
 
 // recordDeadline records how much time a request of a route is allowed.
 func (svc *service) recordDeadline(now time.Time, req Request) {
-	if !req.First {
+	if !req.FirstAttempt {
 		return
 	}
-	allowed := req.Deadline.Sub(req.Asked)
+	allowed := req.Deadline.Sub(req.ReceivedAt)
 	if before, known := svc.deadlines[req.Group]; known && now.Sub(before.at) <= deadlineTTL {
 		allowed = max(allowed, before.allowed)
 	}
@@ -56,7 +56,7 @@
 // requests with shorter deadlines have not.
 func (svc *service) mustYield(now time.Time, req Request, e estimate) bool {
 	shortest := svc.shortestDeadline(now)
-	if float64(req.Deadline.Sub(req.Asked)) < yieldRatio*float64(shortest) {
+	if float64(req.Deadline.Sub(req.ReceivedAt)) < yieldRatio*float64(shortest) {
 		return false
 	}
 	queue := float64(e.expected) * (1 - float64(e.work)/float64(e.atTypicalSpeed))
--- a/internal/policy/fewrequests_test.go
+++ b/internal/policy/fewrequests_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	v := view(servers)
 	for i := range servers {
-		sendTo(t, table, now, v, fmt.Sprint("b", i), Done{Outcome: Good, FirstByte: 200 * time.Millisecond})
+		sendTo(t, table, now, v, fmt.Sprint("b", i), Result{Outcome: Good, FirstByte: 200 * time.Millisecond})
 	}
 }
 
@@ -34,8 +34,8 @@
 			id := fmt.Sprint("b", i)
 			before[id] = table.servers[key{"s", id}].lastSent
 		}
-		p := mustPick(t, table, now, v, Request{First: true})
-		table.Finish(now, p, Done{Outcome: Good, FirstByte: 200 * time.Millisecond})
+		p := mustPick(t, table, now, v, Request{FirstAttempt: true})
+		table.Finish(now, p, Result{Outcome: Good, FirstByte: 200 * time.Millisecond})
 		if now.Before(begin) {
 			continue
 		}
@@ -78,21 +78,21 @@
 		useAll(t, table, now, 20)
 	}
 	now = now.Add(100 * time.Millisecond)
-	if p := mustPick(t, table, now, joinedFrom(20, 21, now), Request{First: true, Idempotent: true}); p.Server.ID != "b20" {
+	if p := mustPick(t, table, now, joinedFrom(20, 21, now), Request{FirstAttempt: true, Idempotent: true}); p.Server.ID != "b20" {
 		t.Errorf("the next request went to %s, want the joined server", p.Server.ID)
 	}
-	if p := mustPick(t, table, now, joinedFrom(20, 21, now), Request{First: true, Idempotent: true}); p.Server.ID == "b20" {
+	if p := mustPick(t, table, now, joinedFrom(20, 21, now), Request{FirstAttempt: true, Idempotent: true}); p.Server.ID == "b20" {
 		t.Error("the following request went to the joined server too")
 	}
 	const joined, sent = 30, 40
 	tried := 0
 	more := joinedFrom(20, 21+joined, now)
 	for range sent {
-		p := mustPick(t, table, now, more, Request{First: true})
+		p := mustPick(t, table, now, more, Request{FirstAttempt: true})
 		if row := table.servers[p.key]; row.joined && p.use.before.IsZero() {
 			tried++
 		}
-		table.Finish(now, p, Done{Outcome: Good, FirstByte: 200 * time.Millisecond})
+		table.Finish(now, p, Result{Outcome: Good, FirstByte: 200 * time.Millisecond})
 		now = now.Add(10 * time.Millisecond)
 	}
 	if tried == 0 || tried > sent/2 {
@@ -109,10 +109,10 @@
 		v.Subset = v.Backends[:10]
 		for i := range 10 {
 			for range 3 {
-				sendTo(t, table, now, v, fmt.Sprint("b", i), Done{Outcome: Failed, FirstByte: time.Millisecond})
+				sendTo(t, table, now, v, fmt.Sprint("b", i), Result{Outcome: Failed, FirstByte: time.Millisecond})
 			}
 		}
-		p := mustPick(t, table, now, v, Request{First: true})
+		p := mustPick(t, table, now, v, Request{FirstAttempt: true})
 		if p.Server.ID <= "b9" && len(p.Server.ID) == 2 {
 			t.Errorf("%d servers: picked one of the failing subset", servers)
 		}
@@ -134,7 +134,7 @@
 			taken = append(taken, v.Backends[i].ID)
 		}
 	}
-	if p := mustPick(t, table, now, v, Request{First: true, Exclude: taken}); p.Server.ID != "b2000" {
+	if p := mustPick(t, table, now, v, Request{FirstAttempt: true, Exclude: taken}); p.Server.ID != "b2000" {
 		t.Errorf("picked %s", p.Server.ID)
 	}
 }
@@ -150,11 +150,11 @@
 				table.state(now, key{"s", fmt.Sprint("b", i)}, &v.Backends[i]).health.observeFailure(now)
 			}
 			for b.Loop() {
-				p, err := table.Pick(now, v, Request{Service: "s", DataCentre: "dc1", First: true})
+				p, err := table.Pick(now, v, Request{Service: "s", DataCentre: "dc1", FirstAttempt: true})
 				if err != nil {
 					b.Fatal(err)
 				}
-				table.Finish(now, p, Done{Outcome: Neutral})
+				table.Finish(now, p, Result{Outcome: Neutral})
 			}
 		})
 	}
--- a/internal/policy/mechanisms.go
+++ b/internal/policy/mechanisms.go
@@ -8,22 +8,22 @@
 
 // Mechanisms that can be disabled.
 const (
-	// MechanismSpells estimates from outcomes whether a server is failing, see spell.go.
-	MechanismSpells Mechanism = "spells"
-	// MechanismUnanswered uses unanswered requests as evidence, see silence.go.
+	// MechanismFailureModel estimates from outcomes whether a server is failing, see health.go.
+	MechanismFailureModel Mechanism = "spells"
+	// MechanismUnanswered uses unanswered requests as evidence, see unanswered.go.
 	MechanismUnanswered Mechanism = "silence"
 	// MechanismCopies sends second copies of idempotent requests, see copies.go.
 	MechanismCopies Mechanism = "copies"
-	// MechanismOutcomes uses the outcomes that other hosts report.
-	MechanismOutcomes Mechanism = "shared-outcomes"
-	// MechanismLoads uses the in-flight requests that other hosts report.
-	MechanismLoads Mechanism = "shared-loads"
+	// MechanismSharedOutcomes uses the outcomes that other hosts report.
+	MechanismSharedOutcomes Mechanism = "shared-outcomes"
+	// MechanismSharedLoads uses the in-flight requests that other hosts report.
+	MechanismSharedLoads Mechanism = "shared-loads"
 	// MechanismReportedLoad uses the load that servers report.
 	MechanismReportedLoad Mechanism = "told-load"
-	// MechanismBreadth keeps servers in use, see breadth.go.
-	MechanismBreadth Mechanism = "breadth"
-	// MechanismTrouble uses nearly all servers while many requests are unserved.
-	MechanismTrouble Mechanism = "trouble"
+	// MechanismCoverage keeps servers in use, see coverage.go.
+	MechanismCoverage Mechanism = "breadth"
+	// MechanismDegraded uses nearly all servers while many requests are unserved.
+	MechanismDegraded Mechanism = "trouble"
 	// MechanismOwnDataCentre prefers servers of the host's own data centre.
 	MechanismOwnDataCentre Mechanism = "own-data-centre"
 	// MechanismColdStart expects newly started servers to be slow.
@@ -40,16 +40,16 @@
 	// MechanismReturnOneByOne sends a server that has rested one request at a time, see
 	// availability.go.
 	MechanismReturnOneByOne Mechanism = "return-one-by-one"
-	// MechanismStanding refuses requests while there is a standing queue, see admission.go.
-	MechanismStanding Mechanism = "standing-queue"
+	// MechanismStandingQueue refuses requests while there is a standing queue, see admission.go.
+	MechanismStandingQueue Mechanism = "standing-queue"
 )
 
 // Mechanisms lists all mechanisms that can be disabled.
 func Mechanisms() []Mechanism {
 	return []Mechanism{
-		MechanismSpells, MechanismUnanswered, MechanismCopies, MechanismOutcomes, MechanismLoads,
-		MechanismReportedLoad, MechanismBreadth, MechanismTrouble, MechanismOwnDataCentre,
-		MechanismColdStart, MechanismIdleConnections, MechanismRouteLatency, MechanismNewHosts, MechanismTrials, MechanismStanding,
+		MechanismFailureModel, MechanismUnanswered, MechanismCopies, MechanismSharedOutcomes, MechanismSharedLoads,
+		MechanismReportedLoad, MechanismCoverage, MechanismDegraded, MechanismOwnDataCentre,
+		MechanismColdStart, MechanismIdleConnections, MechanismRouteLatency, MechanismNewHosts, MechanismTrials, MechanismStandingQueue,
 		MechanismReturnOneByOne,
 	}
 }
--- a/internal/policy/outcome.go
+++ b/internal/policy/outcome.go
@@ -10,10 +10,10 @@
 // caused by the server, one that comes after the work of the request most likely by the request
 // itself, and a connection that had been idle may have been dropped by the server.
 
-// QuickErrorShare is the share of a server's typical latency up to which an error counts as
+// FastErrorShare is the share of a server's typical latency up to which an error counts as
 // immediate. It lies between the latency of errors of failing servers and that of errors which come
 // after the work of a request.
-const QuickErrorShare = 0.12
+const FastErrorShare = 0.12
 
 // Outcome is the result of one request on a backend server.
 type Outcome int
@@ -41,8 +41,8 @@
 	Neutral
 )
 
-// Done describes the end of a request that Pick placed on a server.
-type Done struct {
+// Result describes the end of a request that Pick placed on a server.
+type Result struct {
 	Outcome Outcome
 	// FirstByte is the time to the header of the answer, 0 if there was none.
 	FirstByte time.Duration
@@ -52,8 +52,8 @@
 	Bytes int64
 	// Reused is set if a failed request was sent on a connection that had been used before. Took
 	// is the time until the request failed or was abandoned.
-	Reused bool
-	Took   time.Duration
+	Reused  bool
+	Elapsed time.Duration
 	// Unsent is set if no byte of the request reached the server.
 	Unsent bool
 	// TimedOut is set for a failed request that had no answer when its time ran out.
@@ -68,7 +68,7 @@
 
 // Finish records the end of a request that Pick placed. It must be called exactly once per
 // placement.
-func (t *Table) Finish(now time.Time, p *Placement, done Done) {
+func (t *Table) Finish(now time.Time, p *Placement, done Result) {
 	s, ok := t.servers[p.key]
 	if !ok {
 		return
@@ -89,7 +89,7 @@
 	done.slowness = float64(done.FirstByte) / float64(p.pending.atTypicalSpeed)
 	done.late = now.After(p.objectiveAt)
 	if done.TimedOut || done.Outcome == Abandoned {
-		done.unansweredLogOdds = svc.requestLogOdds(done.Took, p.pending.expected)
+		done.unansweredLogOdds = svc.requestLogOdds(done.Elapsed, p.pending.expected)
 	}
 	done.Outcome = classify(p, done)
 	if done.Outcome == staleConnection {
@@ -112,13 +112,13 @@
 }
 
 // classify distinguishes outcomes by their timing.
-func classify(p *Placement, done Done) Outcome {
+func classify(p *Placement, done Result) Outcome {
 	switch {
 	case done.TimedOut && done.unansweredLogOdds < overdueLogOdds:
 		return Abandoned // too little time to be evidence
 	case done.Outcome == Failed && done.FirstByte > fastErrorLimit(p):
 		return lateError
-	case done.Outcome == Failed && done.Reused && done.Took < fastErrorLimit(p):
+	case done.Outcome == Failed && done.Reused && done.Elapsed < fastErrorLimit(p):
 		return staleConnection
 	default:
 		return done.Outcome
@@ -126,7 +126,7 @@
 }
 
 // recordLatency updates the latency statistics with a good answer.
-func (t *Table) recordLatency(now time.Time, s *server, svc *service, p *Placement, done Done) {
+func (t *Table) recordLatency(now time.Time, s *server, svc *service, p *Placement, done Result) {
 	svc.latencies.add(float64(done.FirstByte) / float64(p.pending.expected))
 	s.recordSlowness(done.slowness)
 	atIdle := time.Duration(done.slowness * float64(p.pending.work))
@@ -135,7 +135,7 @@
 }
 
 // applyOutcome updates the server's state with an outcome of this host.
-func (s *server) applyOutcome(now time.Time, done Done) {
+func (s *server) applyOutcome(now time.Time, done Result) {
 	s.counts.add(done)
 	switch done.Outcome {
 	case Good:
@@ -172,5 +172,5 @@
 // work. Failing servers return errors immediately; an error caused by a request takes the time of
 // its work.
 func fastErrorLimit(p *Placement) time.Duration {
-	return time.Duration(QuickErrorShare * float64(p.pending.work) * p.pending.slowness)
+	return time.Duration(FastErrorShare * float64(p.pending.work) * p.pending.slowness)
 }
--- a/internal/policy/pick.go
+++ b/internal/policy/pick.go
@@ -83,12 +83,12 @@
 	DataCentre string
 	// Objective is the latency objective, 0 for none.
 	Objective time.Duration
-	// First is set for the first pick for a request, Repeat once a server has received the
+	// FirstAttempt is set for the first pick for a request, Repeat once a server has received the
 	// request. Neither is set for a pick after a failed connection.
-	First  bool
-	Repeat bool
-	// Last is set if the request may not be sent to another server after this one.
-	Last bool
+	FirstAttempt bool
+	Retry        bool
+	// LastAttempt is set if the request may not be sent to another server after this one.
+	LastAttempt bool
 	// Fleet determines this host's part of the retry allowance.
 	Fleet Fleet
 	// Group identifies requests with similar work and answers of similar size, such as a route.
@@ -99,16 +99,16 @@
 	Exclude []string
 	// Availability is what the servers report about themselves. A server that reports that it
 	// takes no requests is never selected, not even to keep more servers in use.
-	Availability availability.Moment
+	Availability availability.TableView
 	// RateLimits holds the rate limits that servers announce for all hosts together.
 	RateLimits *ratelimit.View
-	// Beside is set for a send in parallel to one that is in progress; FirstBelief is the failure
+	// Parallel is set for a send in parallel to one that is in progress; FirstBelief is the failure
 	// belief of the server that has that first send.
-	Beside      bool
-	FirstBelief float64
-	// Asked is when this host received the request, Deadline when the caller stops waiting.
-	Asked    time.Time
-	Deadline time.Time
+	Parallel          bool
+	FirstServerBelief float64
+	// ReceivedAt is when this host received the request, Deadline when the caller stops waiting.
+	ReceivedAt time.Time
+	Deadline   time.Time
 }
 
 // Placement is a request's reservation on a server, from Pick until Finish.
@@ -122,9 +122,9 @@
 	// MaxIdle limits how long the connection that carries the request may have been idle, 0 for
 	// no limit.
 	MaxIdle time.Duration
-	// TrialFor is how long to wait for the answer of a trial, even if another server has already
+	// TrialTimeout is how long to wait for the answer of a trial, even if another server has already
 	// answered the caller; 0 if this is no trial.
-	TrialFor time.Duration
+	TrialTimeout time.Duration
 
 	key     key
 	process int // the server.process that was picked
@@ -222,7 +222,7 @@
 			continue
 		}
 		cost := t.cost(in.now, in.svc, s, b, load, in.req) + in.failure*s.failureProbability(in.now, in.svc)
-		if b.DataCentre == in.req.DataCentre && t.has(MechanismBreadth) {
+		if b.DataCentre == in.req.DataCentre && t.has(MechanismCoverage) {
 			cost -= s.coverageBonus(in.now, in.svc, in.need)
 		}
 		if cost < best.cost {
@@ -259,7 +259,7 @@
 
 func (t *Table) noServerError(req Request, eligible int) error {
 	if eligible == 0 {
-		return errs.New(errs.KindNoBackend, "no backend server of "+req.Service+" may take this request", "repeat it after the time in Retry-After")
+		return errs.New(errs.KindNoBackendServer, "no backend server of "+req.Service+" may take this request", "repeat it after the time in Retry-After")
 	}
 	return errs.New(errs.KindQueueFull, "all backend servers of "+req.Service+" are full", "repeat the request after the time in Retry-After")
 }
@@ -295,7 +295,7 @@
 // becomes less likely as the retry allowance is spent.
 func (t *Table) failureCost(req Request, spent float64) float64 {
 	rule := t.conf.Cost
-	if !req.Idempotent || req.Repeat || req.Last {
+	if !req.Idempotent || req.Retry || req.LastAttempt {
 		return rule.Failure
 	}
 	return rule.IdempotentFailure + spent*(rule.Failure-rule.IdempotentFailure)
--- a/internal/policy/pure_test.go
+++ b/internal/policy/pure_test.go
@@ -29,7 +29,7 @@
 	allowedCalls := map[string][]string{
 		"time":         {"Duration", "Time", "Nanosecond", "Microsecond", "Millisecond", "Second", "Minute"},
 		"rand":         {"Rand"},
-		"availability": {"Moment", "Reason", "Available", "Returning", "ServerOf"},
+		"availability": {"TableView", "Reason", "Available", "Returning", "ServerOf"},
 		"ratelimit":    {"View"},
 	}
 	names, err := filepath.Glob("*.go")
--- a/internal/policy/report.go
+++ b/internal/policy/report.go
@@ -8,8 +8,8 @@
 	"github.com/pearshelf/pearshelf/internal/api/peerpb"
 )
 
-// RefreshEvery is the interval at which the number of requests in flight is sent to peers again.
-const RefreshEvery = 500 * time.Millisecond
+// RefreshInterval is the interval at which the number of requests in flight is sent to peers again.
+const RefreshInterval = 500 * time.Millisecond
 
 // Changes returns the updates for the other hosts of the data centre, and the failures that are
 // sent to all hosts. Each change is returned once; lost updates are compensated by Refresh and by
@@ -128,7 +128,7 @@
 	if next.isOlderThan(p.counts) {
 		return // a datagram that arrived out of order
 	}
-	if t.has(MechanismOutcomes) {
+	if t.has(MechanismSharedOutcomes) {
 		s.recordPeerOutcomes(now, p.counts, next)
 	}
 	if isPeer {
@@ -136,7 +136,7 @@
 	}
 	p.counts = next
 	p.at = now
-	if isPeer && t.has(MechanismLoads) {
+	if isPeer && t.has(MechanismSharedLoads) {
 		t.recordPeerInFlight(now, k, s, p, l)
 		if l.ToldLoad > 0 {
 			s.recordReportedLoad(now, int(l.ToldLoad)-1)
--- a/internal/policy/restart_test.go
+++ b/internal/policy/restart_test.go
@@ -13,19 +13,19 @@
 	v := view(2)
 	v.Backends[0].Started, v.Backends[1].Started = 1000, 1000
 	for range 3 {
-		sendTo(t, table, now, v, "b0", Done{Outcome: Failed, FirstByte: time.Millisecond})
+		sendTo(t, table, now, v, "b0", Result{Outcome: Failed, FirstByte: time.Millisecond})
 	}
-	sendTo(t, table, now, v, "b0", Done{Outcome: Unreachable})
+	sendTo(t, table, now, v, "b0", Result{Outcome: Unreachable})
 	v.Backends = v.Backends[:1]
 	table.servers[key{"s", "b0"}].pathUntil = time.Time{}
-	inFlight := mustPick(t, table, now, v, Request{First: true})
+	inFlight := mustPick(t, table, now, v, Request{FirstAttempt: true})
 	before := table.servers[key{"s", "b0"}].counts
 
 	v = view(1)
 	v.Backends[0].Started = 2000
 	v.Backends[0].Warmup = time.Second
 	now = now.Add(10 * time.Millisecond)
-	placed := mustPick(t, table, now, v, Request{First: true})
+	placed := mustPick(t, table, now, v, Request{FirstAttempt: true})
 	row := table.servers[key{"s", "b0"}]
 	if placed.Load != 0 || row.inFlight != 1 {
 		t.Errorf("load %.1f when picked, %d in flight: the previous process's request counts", placed.Load, row.inFlight)
@@ -37,11 +37,11 @@
 		t.Errorf("cold until %s", row.coldUntil.Sub(now))
 	}
 
-	table.Finish(now, inFlight, Done{Outcome: Failed, FirstByte: time.Millisecond})
+	table.Finish(now, inFlight, Result{Outcome: Failed, FirstByte: time.Millisecond})
 	if row.inFlight != 1 || !row.failedAt.IsZero() || row.counts.failed != before.failed {
 		t.Errorf("%d in flight, %d failed: the end of the previous process's request counts", row.inFlight, row.counts.failed)
 	}
-	table.Finish(now, placed, Done{Outcome: Good, FirstByte: time.Millisecond})
+	table.Finish(now, placed, Result{Outcome: Good, FirstByte: time.Millisecond})
 	if row.inFlight != 0 || row.counts.good != before.good+1 {
 		t.Errorf("%d in flight, %d good", row.inFlight, row.counts.good)
 	}
@@ -53,7 +53,7 @@
 	v := view(1)
 	for _, started := range []int64{0, 1000, 0, 1000} {
 		v.Backends[0].Started = started
-		sendTo(t, table, now, v, "b0", Done{Outcome: Failed, FirstByte: time.Millisecond})
+		sendTo(t, table, now, v, "b0", Result{Outcome: Failed, FirstByte: time.Millisecond})
 	}
 	if row := table.servers[key{"s", "b0"}]; row.process != 0 || row.counts.failed != 4 {
 		t.Errorf("%d processes, %d failures", row.process+1, row.counts.failed)
@@ -66,7 +66,7 @@
 	v := view(2)
 	v.Backends[0].Started = 1000
 	v.Backends = v.Backends[:1]
-	req := Request{Service: "s", DataCentre: "dc1", Idempotent: true, First: true, Asked: now, Deadline: now.Add(3 * time.Second), Objective: time.Second}
+	req := Request{Service: "s", DataCentre: "dc1", Idempotent: true, FirstAttempt: true, ReceivedAt: now, Deadline: now.Add(3 * time.Second), Objective: time.Second}
 	waiting := mustPick(t, table, now, v, req)
 	svc := table.service("s")
 	if loss := table.lossIfWaiting(now, svc, req, waiting); loss > 0.5 {
--- a/internal/policy/retries.go
+++ b/internal/policy/retries.go
@@ -30,21 +30,21 @@
 
 // Fleet is the size of the fleet.
 type Fleet struct {
-	// Near is the number of live hosts of this data centre, including this one.
-	Near int
-	// All is the largest number of hosts that were ever live at the same time.
-	All int
+	// LocalHosts is the number of live hosts of this data centre, including this one.
+	LocalHosts int
+	// MaxHosts is the largest number of hosts that were ever live at the same time.
+	MaxHosts int
 }
 
 // recordAttempt counts a send to a server, as a request or as a retry, for the retry allowance.
 func (svc *service) recordAttempt(now time.Time, length time.Duration, s *server, req Request) {
 	svc.dirty = true
 	switch {
-	case req.Repeat:
+	case req.Retry:
 		s.counts.retries++
 		svc.totals.retries++
 		svc.ownSends.retries.add(now, length, 1)
-	case req.First:
+	case req.FirstAttempt:
 		s.counts.requests++
 		svc.totals.requests++
 		svc.ownSends.requests.add(now, length, 1)
@@ -124,7 +124,7 @@
 func (t *Table) retriesUsed(now time.Time, name string, fleet Fleet) retriesUsed {
 	svc := t.service(name)
 	rule := t.conf.Retry
-	all := float64(max(fleet.All, fleet.Near, 1))
+	all := float64(max(fleet.MaxHosts, fleet.LocalHosts, 1))
 	age := now.Sub(t.started)
 	if age < rule.Window && t.has(MechanismNewHosts) {
 		// A new host does not know what the others spent before it started, nor what
@@ -134,7 +134,7 @@
 		return retriesUsed{svc.ownSends.retries.sum(now, rule.Window), rule.allowance(svc.ownSends.requests.sum(now, rule.Window), reserve)}
 	}
 	requests, retries, hosts := svc.sharedSends(now, rule.Window)
-	reserve := rule.Reserve * float64(min(hosts, max(fleet.Near, 1))) / all
+	reserve := rule.Reserve * float64(min(hosts, max(fleet.LocalHosts, 1))) / all
 	return retriesUsed{retries, rule.allowance(requests, reserve)}
 }
 
--- a/internal/policy/routes_test.go
+++ b/internal/policy/routes_test.go
@@ -13,7 +13,7 @@
 	v := view(1)
 	for range 200 {
 		for group, took := range map[string]time.Duration{"short": short, "long": long} {
-			table.Finish(now, mustPick(t, table, now, v, Request{First: true, Group: group}), Done{Outcome: Good, FirstByte: took})
+			table.Finish(now, mustPick(t, table, now, v, Request{FirstAttempt: true, Group: group}), Result{Outcome: Good, FirstByte: took})
 		}
 	}
 	svc, row := table.service("s"), table.servers[key{"s", "b0"}]
@@ -23,8 +23,8 @@
 		}
 	}
 	logOddsAfter := func(group string, age time.Duration) float64 {
-		p := mustPick(t, table, now, v, Request{First: true, Group: group})
-		defer table.Finish(now, p, Done{Outcome: Neutral})
+		p := mustPick(t, table, now, v, Request{FirstAttempt: true, Group: group})
+		defer table.Finish(now, p, Result{Outcome: Neutral})
 		return row.unansweredLogOdds(now.Add(age), svc)
 	}
 	if evidence := logOddsAfter("long", long/2); evidence > 0.2 {
--- a/internal/policy/table.go
+++ b/internal/policy/table.go
@@ -179,7 +179,7 @@
 	svc, ok := t.services[name]
 	if !ok {
 		svc = &service{typicalLatency: defaultTypicalLatency, latencies: newLatencyDistribution(), unansweredShare: priorUnansweredShare, sharingHosts: make(map[string]*peerTotals), priorities: make(map[int]*window), deadlines: make(map[string]routeDeadline)}
-		svc.beliefOptions = beliefOptions{outcomes: t.has(MechanismSpells), unanswered: t.has(MechanismUnanswered)}
+		svc.beliefOptions = beliefOptions{outcomes: t.has(MechanismFailureModel), unanswered: t.has(MechanismUnanswered)}
 		t.services[name] = svc
 	}
 	return svc
--- a/internal/policy/table_test.go
+++ b/internal/policy/table_test.go
@@ -41,7 +41,7 @@
 }
 
 // sendTo sends a request to the given server and records its outcome.
-func sendTo(t *testing.T, table *Table, now time.Time, v *world.ServiceView, id string, done Done) {
+func sendTo(t *testing.T, table *Table, now time.Time, v *world.ServiceView, id string, done Result) {
 	t.Helper()
 	only := &world.ServiceView{}
 	for _, b := range v.Backends {
@@ -49,7 +49,7 @@
 			only.Backends = append(only.Backends, b)
 		}
 	}
-	table.Finish(now, mustPick(t, table, now, only, Request{First: true}), done)
+	table.Finish(now, mustPick(t, table, now, only, Request{FirstAttempt: true}), done)
 }
 
 func TestBeliefRisesWithFailuresAndDecays(t *testing.T) {
@@ -78,7 +78,7 @@
 	table, now := newTable()
 	v := view(2)
 	for _, id := range []string{"b0", "b1"} {
-		sendTo(t, table, now, v, id, Done{Outcome: Good, FirstByte: 100 * time.Millisecond})
+		sendTo(t, table, now, v, id, Result{Outcome: Good, FirstByte: 100 * time.Millisecond})
 	}
 	table.Report(now, "h2", 7, []*peerpb.BackendLoad{{Service: "s", Backend: "b0", Failed: 1}}, false)
 	for range 3 {
@@ -128,7 +128,7 @@
 func TestDataCentreSharesRetryAllowance(t *testing.T) {
 	table, now := newTable()
 	table.conf.Retry = RetryRule{Share: 0.2, Reserve: 20, Window: 10 * time.Second}
-	fleet := Fleet{Near: 10, All: 40}
+	fleet := Fleet{LocalHosts: 10, MaxHosts: 40}
 	now = now.Add(time.Minute)
 	for host := range 9 { // all ten hosts of the data centre report
 		table.Report(now, fmt.Sprint("h", host+2), 7, []*peerpb.BackendLoad{{Service: "s"}}, true)
@@ -152,7 +152,7 @@
 func TestHostsWithoutReportsKeepTheirAllowance(t *testing.T) {
 	table, now := newTable()
 	table.conf.Retry = RetryRule{Share: 0.2, Reserve: 40, Window: 10 * time.Second}
-	fleet := Fleet{Near: 10, All: 40}
+	fleet := Fleet{LocalHosts: 10, MaxHosts: 40}
 	now = now.Add(time.Minute)
 	for host := range 9 {
 		name := fmt.Sprint("h", host+2)
@@ -196,7 +196,7 @@
 func TestFirstReportCountsOnlyNewestFailure(t *testing.T) {
 	beliefAfter := func(failed uint64) float64 {
 		table, now := newTable()
-		sendTo(t, table, now, view(1), "b0", Done{Outcome: Good, FirstByte: time.Millisecond})
+		sendTo(t, table, now, view(1), "b0", Result{Outcome: Good, FirstByte: time.Millisecond})
 		table.Report(now, "h2", 7, []*peerpb.BackendLoad{{Service: "s", Backend: "b0", Failed: failed}}, false)
 		return table.servers[key{"s", "b0"}].health.probabilityAt(now)
 	}
@@ -213,9 +213,9 @@
 	beliefAfter := func(n int, took time.Duration) float64 {
 		table, now := newTable()
 		v := view(1)
-		sendTo(t, table, now, v, "b0", Done{Outcome: Good, FirstByte: work})
+		sendTo(t, table, now, v, "b0", Result{Outcome: Good, FirstByte: work})
 		for range n {
-			sendTo(t, table, now, v, "b0", Done{Outcome: Failed, FirstByte: took})
+			sendTo(t, table, now, v, "b0", Result{Outcome: Failed, FirstByte: took})
 		}
 		return table.servers[key{"s", "b0"}].health.probabilityAt(now)
 	}
@@ -235,10 +235,10 @@
 	sender, now := newTable()
 	receiver, _ := newTable()
 	v := view(1)
-	sendTo(t, sender, now, v, "b0", Done{Outcome: Good, FirstByte: 200 * time.Millisecond})
+	sendTo(t, sender, now, v, "b0", Result{Outcome: Good, FirstByte: 200 * time.Millisecond})
 	near, _ := sender.Changes(now)
 	receiver.Report(now, "h2", 1, near, true)
-	sendTo(t, sender, now, v, "b0", Done{Outcome: Failed, FirstByte: 200 * time.Millisecond})
+	sendTo(t, sender, now, v, "b0", Result{Outcome: Failed, FirstByte: 200 * time.Millisecond})
 	near, failing := sender.Changes(now)
 	if len(failing) != 0 {
 		t.Errorf("%v is sent to hosts of other data centres", failing)
@@ -254,9 +254,9 @@
 func TestRepeatedPickCountsOnce(t *testing.T) {
 	table, now := newTable()
 	v := view(3)
-	table.Finish(now, mustPick(t, table, now, v, Request{First: true}), Done{Outcome: Unreachable})
-	table.Finish(now, mustPick(t, table, now, v, Request{}), Done{Outcome: Shed})
-	table.Finish(now, mustPick(t, table, now, v, Request{Repeat: true}), Done{Outcome: Good})
+	table.Finish(now, mustPick(t, table, now, v, Request{FirstAttempt: true}), Result{Outcome: Unreachable})
+	table.Finish(now, mustPick(t, table, now, v, Request{}), Result{Outcome: Shed})
+	table.Finish(now, mustPick(t, table, now, v, Request{Retry: true}), Result{Outcome: Good})
 	svc := table.service("s")
 	window := table.conf.Retry.Window
 	if requests, retries := sharedSends(svc, now, window); requests != 1 || retries != 1 {
@@ -269,9 +269,9 @@
 	sender, now := newTable()
 	receiver, _ := newTable()
 	v := view(2)
-	sendTo(t, sender, now, v, "b0", Done{Outcome: Good, FirstByte: time.Millisecond})
+	sendTo(t, sender, now, v, "b0", Result{Outcome: Good, FirstByte: time.Millisecond})
 	sender.Changes(now) // lost
-	sendTo(t, sender, now, v, "b1", Done{Outcome: Good, FirstByte: time.Millisecond})
+	sendTo(t, sender, now, v, "b1", Result{Outcome: Good, FirstByte: time.Millisecond})
 	near, _ := sender.Changes(now)
 	receiver.Report(now, "h2", 1, near, true)
 	if got, _ := sharedSends(receiver.service("s"), now, receiver.conf.Retry.Window); got != 2 {
@@ -285,7 +285,7 @@
 func TestNewHostSpendsOnlyItsOwnAllowance(t *testing.T) {
 	table, now := newTable()
 	table.conf.Retry = RetryRule{Share: 0.2, Reserve: 20, Window: 10 * time.Second}
-	fleet := Fleet{Near: 40, All: 40}
+	fleet := Fleet{LocalHosts: 40, MaxHosts: 40}
 	table.Report(now, "h2", 7, []*peerpb.BackendLoad{{Service: "s", Requests: 500, Retries: 50}}, true)
 	svc := table.service("s")
 	if got, _ := sharedSends(svc, now, table.conf.Retry.Window); got != 0 {
@@ -295,7 +295,7 @@
 	table.Report(now, "h2", 7, []*peerpb.BackendLoad{{Service: "s", Requests: 1500, Retries: 50}}, true)
 	allowed := 0
 	for ; table.AllowRetry(now, "s", fleet); allowed++ {
-		table.Finish(now, mustPick(t, table, now, view(30), Request{Repeat: true}), Done{Outcome: Neutral})
+		table.Finish(now, mustPick(t, table, now, view(30), Request{Retry: true}), Result{Outcome: Neutral})
 	}
 	if allowed > 1 { // it had no request itself
 		t.Errorf("%d retries allowed 9 s after the start", allowed)
@@ -336,7 +336,7 @@
 		if placement.Server.ID == "b0" {
 			outcome = Failed
 		}
-		table.Finish(now, placement, Done{Outcome: outcome, FirstByte: 100 * time.Millisecond})
+		table.Finish(now, placement, Result{Outcome: outcome, FirstByte: 100 * time.Millisecond})
 	}
 	if len(used) < 6 {
 		t.Errorf("%d of 8 servers in use over 2 s: %v", len(used), used)
@@ -350,7 +350,7 @@
 func TestUnreachableServerIsAvoided(t *testing.T) {
 	table, now := newTable()
 	v := view(2)
-	sendTo(t, table, now, v, "b0", Done{Outcome: Unreachable})
+	sendTo(t, table, now, v, "b0", Result{Outcome: Unreachable})
 	for range 5 {
 		if placement := mustPick(t, table, now, v, Request{Idempotent: true}); placement.Server.ID != "b1" {
 			t.Fatalf("request sent to %s, which cannot be reached", placement.Server.ID)
@@ -364,8 +364,8 @@
 	table, now := newTable()
 	v := view(2)
 	v.Backends[1].DataCentre = "dc2"
-	sendTo(t, table, now, v, "b1", Done{Outcome: Good, FirstByte: 100 * time.Millisecond})
-	sendTo(t, table, now, v, "b0", Done{Outcome: Failed})
+	sendTo(t, table, now, v, "b1", Result{Outcome: Good, FirstByte: 100 * time.Millisecond})
+	sendTo(t, table, now, v, "b0", Result{Outcome: Failed})
 	table.route(table.service("s"), "large").record(now, 100*time.Millisecond, 100_000)
 	table.route(table.service("s"), "small").record(now, 100*time.Millisecond, 500)
 	if placement := mustPick(t, table, now, v, Request{Idempotent: true, Group: "large"}); placement.Server.ID != "b0" {
@@ -380,7 +380,7 @@
 func TestReportedLoadDecays(t *testing.T) {
 	table, now := newTable()
 	v := view(1)
-	sendTo(t, table, now, v, "b0", Done{Outcome: Good, FirstByte: time.Millisecond, Load: &protocol.Load{Running: 3, Waiting: 6}})
+	sendTo(t, table, now, v, "b0", Result{Outcome: Good, FirstByte: time.Millisecond, Load: &protocol.Load{Running: 3, Waiting: 6}})
 	row := table.servers[key{"s", "b0"}]
 	if load := row.load(row.loadReportedAt); load != 8 {
 		t.Errorf("load %.1f, want the 8 other requests that the server reported", load)
@@ -395,8 +395,8 @@
 func TestChangesSendOnlyFailuresToAllHosts(t *testing.T) {
 	table, now := newTable()
 	v := view(2)
-	sendTo(t, table, now, v, "b0", Done{Outcome: Good, FirstByte: time.Millisecond})
-	sendTo(t, table, now, v, "b1", Done{Outcome: Failed})
+	sendTo(t, table, now, v, "b0", Result{Outcome: Good, FirstByte: time.Millisecond})
+	sendTo(t, table, now, v, "b1", Result{Outcome: Failed})
 	near, failures := table.Changes(now)
 	if len(near) != 3 || len(failures) != 1 || failures[0].Backend != "b1" || failures[0].Failed != 1 || failures[0].Requests != 0 {
 		t.Errorf("near %v, far %v", near, failures)
@@ -411,7 +411,7 @@
 // to be healthy.
 func TestNewServersAreTrusted(t *testing.T) {
 	table, now := newTable()
-	sendTo(t, table, now, view(2), "b0", Done{Outcome: Neutral})
+	sendTo(t, table, now, view(2), "b0", Result{Outcome: Neutral})
 	moved := view(5)
 	moved.Backends[2].JoinedAt = now
 	moved.Backends[3].JoinedAt = now.Add(-time.Minute)
@@ -436,7 +436,7 @@
 	table, now := newTable()
 	table.conf.Retry = RetryRule{Share: 0, Reserve: 40, Window: 10 * time.Second}
 	now = now.Add(time.Minute)
-	req := Request{Service: "s", Idempotent: true, Fleet: Fleet{Near: 1, All: 1}}
+	req := Request{Service: "s", Idempotent: true, Fleet: Fleet{LocalHosts: 1, MaxHosts: 1}}
 	unspent := table.failureCost(req, table.spentAllowance(now, "s", req.Fleet))
 	if unspent >= table.conf.Cost.Failure {
 		t.Fatalf("a failure costs %.2f with the allowance unspent, want less than for a lost request", unspent)
@@ -447,7 +447,7 @@
 	if spent := table.failureCost(req, table.spentAllowance(now, "s", req.Fleet)); spent < 0.95*table.conf.Cost.Failure {
 		t.Errorf("a failure costs %.2f with the allowance spent, want a lost request", spent)
 	}
-	req.Last = true
+	req.LastAttempt = true
 	if last := table.failureCost(req, table.spentAllowance(now.Add(time.Minute), "s", req.Fleet)); last != table.conf.Cost.Failure {
 		t.Errorf("a failure of the last try costs %.2f, want a lost request", last)
 	}
@@ -468,14 +468,14 @@
 	sender, now := newTable()
 	peer, _ := newTable()
 	v := view(1)
-	sendTo(t, sender, now, v, "b0", Done{Outcome: Good, FirstByte: time.Millisecond, Load: &protocol.Load{Running: 3, Waiting: 6}})
+	sendTo(t, sender, now, v, "b0", Result{Outcome: Good, FirstByte: time.Millisecond, Load: &protocol.Load{Running: 3, Waiting: 6}})
 	near, _ := sender.Changes(now)
 	peer.Report(now, "h2", 1, near, true)
 	row := peer.servers[key{"s", "b0"}]
 	if load := row.load(now); load < 7 {
 		t.Errorf("load %.1f at the peer, want about 8 of the 9 reported", load)
 	}
-	sendTo(t, sender, now, v, "b0", Done{Outcome: Good, FirstByte: time.Millisecond})
+	sendTo(t, sender, now, v, "b0", Result{Outcome: Good, FirstByte: time.Millisecond})
 	near, _ = sender.Changes(now)
 	peer.Report(now.Add(5*reportedLoadHalfLife), "h2", 1, near, true)
 	if load := row.load(now.Add(5 * reportedLoadHalfLife)); load > 1 {
