--- a/internal/policy/trial.go
+++ b/internal/policy/trial.go
@@ -30,11 +30,11 @@
 	trialAllowance = 0.95
 )
 
-// Trial places a copy of an idempotent request on a server believed to be failing, if a trial is
+// PlaceTrial places a copy of an idempotent request on a server believed to be failing, if a trial is
 // due and enough of the retry allowance is left. req.Exclude lists the servers that have received
 // the request.
-func (t *Table) Trial(now time.Time, view *world.ServiceView, req Request) (*Placement, bool) {
-	if !t.has(MechanismTrials) || !req.Idempotent || req.FirstBelief > maxFirstBelief {
+func (t *Table) PlaceTrial(now time.Time, view *world.ServiceView, req Request) (*Placement, bool) {
+	if !t.has(MechanismTrials) || !req.Idempotent || req.FirstServerBelief > maxFirstBelief {
 		return nil, false
 	}
 	svc := t.service(req.Service)
@@ -46,10 +46,10 @@
 	if !used.allowsOne() || used.spent() > trialAllowance {
 		return nil, false
 	}
-	req.Repeat, req.First = true, false
+	req.Retry, req.FirstAttempt = true, false
 	placement := t.place(now, svc, best, req)
 	expected := time.Duration(svc.latencies.quantile(trialQuantile) * float64(placement.pending.expected))
-	placement.TrialFor = max(expected, minTrialTimeout)
+	placement.TrialTimeout = max(expected, minTrialTimeout)
 	return placement, true
 }
 
--- a/internal/policy/silence_test.go
+++ b/internal/policy/unanswered_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	for range 10 {
 		for _, b := range v.Backends {
-			sendTo(t, table, now, v, b.ID, Done{Outcome: Good, FirstByte: work})
+			sendTo(t, table, now, v, b.ID, Result{Outcome: Good, FirstByte: work})
 		}
 	}
 }
@@ -34,7 +34,7 @@
 	v := view(2)
 	warmUp(t, table, now, v)
 	warmUp(t, peer, now, v)
-	waiting := mustPick(t, table, now, singleServer(v, 0), Request{First: true})
+	waiting := mustPick(t, table, now, singleServer(v, 0), Request{FirstAttempt: true})
 	near, _ := table.Changes(now)
 	peer.Report(now, "h2", 1, near, true)
 	later := now.Add(4 * work)
@@ -48,7 +48,7 @@
 			t.Errorf("%s: belief %.3f after half of the typical latency", name, early)
 		}
 	}
-	table.Finish(later, waiting, Done{Outcome: Good, FirstByte: 4 * work})
+	table.Finish(later, waiting, Result{Outcome: Good, FirstByte: 4 * work})
 	near, _ = table.Changes(later)
 	peer.Report(later, "h2", 1, near, true)
 	for name, tab := range map[string]*Table{"the host": table, "its peer": peer} {
@@ -68,7 +68,7 @@
 	near, _ := table.Changes(now)
 	peer.Report(now, "h2", 1, near, true)
 	before := peer.servers[key{"s", "b0"}].health.probabilityAt(now)
-	sendTo(t, table, now, v, "b0", Done{Outcome: Abandoned, Took: 4 * work})
+	sendTo(t, table, now, v, "b0", Result{Outcome: Abandoned, Elapsed: 4 * work})
 	near, _ = table.Changes(now)
 	peer.Report(now, "h2", 1, near, true)
 	for name, tab := range map[string]*Table{"the host": table, "its peer": peer} {
@@ -84,7 +84,7 @@
 	v := view(1)
 	warmUp(t, table, now, v)
 	before := table.servers[key{"s", "b0"}].health.probabilityAt(now)
-	sendTo(t, table, now, v, "b0", Done{Outcome: Failed, TimedOut: true, Took: work / 4})
+	sendTo(t, table, now, v, "b0", Result{Outcome: Failed, TimedOut: true, Elapsed: work / 4})
 	if after := table.servers[key{"s", "b0"}].health.probabilityAt(now); after > 1.2*before {
 		t.Errorf("belief rose from %.3f to %.3f", before, after)
 	}
@@ -111,16 +111,16 @@
 	table.conf.Retry = RetryRule{Share: 0.2, Reserve: 20, Window: 10 * time.Second}
 	v := view(3)
 	warmUp(t, table, now, v)
-	req := Request{Service: "s", DataCentre: "dc1", Idempotent: true, First: true, Objective: 3 * work, Asked: now, Deadline: now.Add(10 * work), Fleet: Fleet{Near: 1, All: 1}}
+	req := Request{Service: "s", DataCentre: "dc1", Idempotent: true, FirstAttempt: true, Objective: 3 * work, ReceivedAt: now, Deadline: now.Add(10 * work), Fleet: Fleet{LocalHosts: 1, MaxHosts: 1}}
 	waiting := mustPick(t, table, now, v, req)
 	req.Exclude = []string{waiting.Server.ID}
-	if copyNow, after := table.Review(now.Add(work/2), v, req, waiting); copyNow || after <= 0 {
+	if copyNow, after := table.ReviewCopy(now.Add(work/2), v, req, waiting); copyNow || after <= 0 {
 		t.Errorf("after half of the typical latency: copy %t, next review in %s", copyNow, after)
 	}
-	if copyNow, _ := table.Review(now.Add(2*work), v, req, waiting); !copyNow {
+	if copyNow, _ := table.ReviewCopy(now.Add(2*work), v, req, waiting); !copyNow {
 		t.Error("no copy after twice the typical latency")
 	}
-	if copyNow, after := table.Review(now.Add(11*work), v, req, waiting); copyNow || after != 0 {
+	if copyNow, after := table.ReviewCopy(now.Add(11*work), v, req, waiting); copyNow || after != 0 {
 		t.Errorf("after the deadline: copy %t, next review in %s", copyNow, after)
 	}
 	for range 3 * 3 * maxRequestsPerSlot {
@@ -128,7 +128,7 @@
 			break
 		}
 	}
-	if copyNow, _ := table.Review(now.Add(work*3/2), v, req, waiting); copyNow {
+	if copyNow, _ := table.ReviewCopy(now.Add(work*3/2), v, req, waiting); copyNow {
 		t.Error("copy sent while all servers are full")
 	}
 }
@@ -139,7 +139,7 @@
 	table, now := newTable()
 	v := view(1)
 	warmUp(t, table, now, v)
-	req := Request{Service: "s", DataCentre: "dc1", First: true, Asked: now, Deadline: now.Add(work / 8), Objective: time.Second}
+	req := Request{Service: "s", DataCentre: "dc1", FirstAttempt: true, ReceivedAt: now, Deadline: now.Add(work / 8), Objective: time.Second}
 	if _, err := table.Pick(now.Add(2*routeLatencyTTL), v, req); err != nil {
 		t.Errorf("no recent answer: %v: refused requests bring no answers that could correct the typical latency", err)
 	}
@@ -177,7 +177,7 @@
 	table, now := newTable()
 	v := view(1)
 	warmUp(t, table, now, v)
-	mustPick(t, table, now, v, Request{First: true})
+	mustPick(t, table, now, v, Request{FirstAttempt: true})
 	svc, row := table.service("s"), table.servers[key{"s", "b0"}]
 	later := now.Add(4 * work)
 	if row.unansweredLogOdds(later, svc) < overdueLogOdds {
--- a/internal/policy/unused.go
+++ b/internal/policy/unused.go
@@ -10,17 +10,17 @@
 // out of use.
 const outOfUse = 2 * time.Second
 
-// WhyUnused is the reason why a server gets no requests. If the server itself reports that it takes
+// UnusedReason is the reason why a server gets no requests. If the server itself reports that it takes
 // none, the name is that of its availability.Reason.
-type WhyUnused string
+type UnusedReason string
 
 // Reasons, in order of precedence.
 const (
-	UnusedPath        WhyUnused = "path"         // this host cannot connect to it
-	UnusedFailure     WhyUnused = "failure"      // a request failed there recently
-	UnusedUnanswered  WhyUnused = "silence"      // requests have been waiting there for longer than usual
-	UnusedBelief      WhyUnused = "belief"       // it is believed to be failing
-	UnusedNoObjection WhyUnused = "no-objection" // none: other servers cost less, or there are too few requests
+	UnusedPath        UnusedReason = "path"         // this host cannot connect to it
+	UnusedFailure     UnusedReason = "failure"      // a request failed there recently
+	UnusedUnanswered  UnusedReason = "silence"      // requests have been waiting there for longer than usual
+	UnusedBelief      UnusedReason = "belief"       // it is believed to be failing
+	UnusedNoObjection UnusedReason = "no-objection" // none: other servers cost less, or there are too few requests
 )
 
 // UseChange reports a server that went out of use, or is in use again.
@@ -33,9 +33,9 @@
 	// Why, Belief, Troubled and Limited are only set for a server that went out of use: the
 	// probability that it is failing, and whether many requests of the service are unserved or
 	// refused beyond their customers' limits.
-	Why      WhyUnused
+	Why      UnusedReason
 	Belief   float64
-	Troubled bool
+	Degraded bool
 	Limited  bool
 }
 
@@ -68,7 +68,7 @@
 		if s.watch.unused {
 			change.Why = s.reasonUnused(now, svc, b, req)
 			change.Belief = s.belief(now, svc)
-			change.Troubled = svc.isDegraded(now)
+			change.Degraded = svc.isDegraded(now)
 			change.Limited = svc.isHeavilyLimited(now)
 		}
 		changes = append(changes, change)
@@ -112,11 +112,11 @@
 	return now.Sub(since)
 }
 
-func (s *server) reasonUnused(now time.Time, svc *service, b *world.BackendView, req Request) WhyUnused {
+func (s *server) reasonUnused(now time.Time, svc *service, b *world.BackendView, req Request) UnusedReason {
 	reported := req.reason(b)
 	switch {
 	case !reported.TakesRequests():
-		return WhyUnused(reported.String())
+		return UnusedReason(reported.String())
 	case now.Before(s.pathUntil):
 		return UnusedPath
 	case now.Sub(s.failedAt) <= failureCooldown:
--- a/internal/policy/unused_test.go
+++ b/internal/policy/unused_test.go
@@ -33,13 +33,13 @@
 // A server that gets no request for 2 s is reported once, with the reason, and once more when it
 // gets a request again. The other servers stay in use.
 func TestServersOutOfUseAreReported(t *testing.T) {
-	good := Done{Outcome: Good, FirstByte: 100 * time.Millisecond}
+	good := Result{Outcome: Good, FirstByte: 100 * time.Millisecond}
 	cases := map[string]struct {
-		last    Done // outcome on the server that goes out of use
+		last    Result // outcome on the server that goes out of use
 		reports map[string]protocol.ServerState
-		why     WhyUnused
+		why     UnusedReason
 	}{
-		"believed to be failing":     {last: Done{Outcome: Failed}, why: UnusedBelief},
+		"believed to be failing":     {last: Result{Outcome: Failed}, why: UnusedBelief},
 		"no objection":               {last: good, why: UnusedNoObjection},
 		"asked for rest":             {last: good, reports: map[string]protocol.ServerState{"b0": {Rest: time.Minute}}, why: "resting"},
 		"reports that it is leaving": {last: good, reports: map[string]protocol.ServerState{"b0": {Leaving: true}}, why: "leaving"},
@@ -75,12 +75,12 @@
 	v := view(3)
 	expectNoUseChange(t, table, now)
 	for _, id := range []string{"b0", "b1", "b2"} {
-		sendTo(t, table, now, v, id, Done{Outcome: Good, FirstByte: 100 * time.Millisecond})
+		sendTo(t, table, now, v, id, Result{Outcome: Good, FirstByte: 100 * time.Millisecond})
 	}
 	expectNoUseChange(t, table, now)
 	now = now.Add(10 * outOfUse)
 	for _, id := range []string{"b1", "b2"} {
-		sendTo(t, table, now, v, id, Done{Outcome: Good, FirstByte: 100 * time.Millisecond})
+		sendTo(t, table, now, v, id, Result{Outcome: Good, FirstByte: 100 * time.Millisecond})
 	}
 	expectNoUseChange(t, table, now)
 }
@@ -89,7 +89,7 @@
 func TestNewServerIsOutOfUseFromFirstCheck(t *testing.T) {
 	table, now := newTable()
 	v := view(3)
-	good := Done{Outcome: Good, FirstByte: 100 * time.Millisecond}
+	good := Result{Outcome: Good, FirstByte: 100 * time.Millisecond}
 	useOthers := func() {
 		for _, id := range []string{"b1", "b2", "b1", "b2"} {
 			sendTo(t, table, now, v, id, good)
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -35,9 +35,9 @@
 type Protocol struct {
 	// RequestID is the header that identifies a request to callers and backend servers.
 	RequestID string
-	// CallerNamesRequests reports whether the caller's own request ID is kept. If not,
+	// KeepCallerRequestID reports whether the caller's own request ID is kept. If not,
 	// the entry host assigns one, because callers may reuse theirs.
-	CallerNamesRequests bool
+	KeepCallerRequestID bool
 	// Sessions reports whether the entry host assigns a session to requests without one.
 	Sessions bool
 	// Timeout is the header for how long the caller waits, in milliseconds.
@@ -53,9 +53,9 @@
 	// Customer is the header that names the customer to the backend server. A value sent
 	// by the caller is never passed on.
 	Customer string
-	// PlainBodies reports whether a response with a Content-Encoding cannot come from the
+	// IdentityEncodingOnly reports whether a response with a Content-Encoding cannot come from the
 	// backend server itself, because no caller requests one.
-	PlainBodies bool
+	IdentityEncodingOnly bool
 	// Signature is the header that every successful response of a backend server must carry.
 	Signature string
 	// Leaving is the header by which a backend server reports that it is leaving.
@@ -78,8 +78,8 @@
 	ReadyPath string
 }
 
-// Own returns the protocol of Pearshelf's own interface.
-func Own() *Protocol {
+// Default returns the protocol of Pearshelf's own interface.
+func Default() *Protocol {
 	return &Protocol{
 		RequestID:        HeaderRequestID,
 		Sessions:         true,
@@ -92,7 +92,7 @@
 		Load:             HeaderLoad,
 		ParseLoad:        parseLoad,
 		Limit:            HeaderLimit,
-		FormatRetryAfter: WholeSeconds,
+		FormatRetryAfter: FormatSeconds,
 		ReadyPath:        "/.well-known/pearshelf/ready",
 	}
 }
@@ -107,15 +107,15 @@
 	return Load{Running: inUse}, err == nil && inUse >= 0
 }
 
-// WholeSeconds formats d in seconds, rounded up, because RFC 9110 allows only whole
+// FormatSeconds formats d in seconds, rounded up, because RFC 9110 allows only whole
 // seconds in Retry-After.
-func WholeSeconds(d time.Duration) string {
+func FormatSeconds(d time.Duration) string {
 	return strconv.Itoa(int((d + time.Second - 1) / time.Second))
 }
 
-// NotRunBy reports whether a backend server's response states that the request was not
+// IsNotRun reports whether a backend server's response states that the request was not
 // run and may therefore be sent to another server.
-func (p *Protocol) NotRunBy(h http.Header) bool {
+func (p *Protocol) IsNotRun(h http.Header) bool {
 	value := h.Get(p.NotRun)
 	return value != "" && value != "false" && value != "0"
 }
--- a/internal/protocol/serverstate.go
+++ b/internal/protocol/serverstate.go
@@ -35,9 +35,9 @@
 	// PerSecond is the number of requests per second that the server accepts from all hosts
 	// together.
 	PerSecond float64
-	// Unreadable is the quoted value that cannot be parsed, or empty. Such a response states
+	// Invalid is the quoted value that cannot be parsed, or empty. Such a response states
 	// neither that there is a limit nor that there is none.
-	Unreadable string
+	Invalid string
 }
 
 // maxLimit caps announced limits, so that absurd values do not distort sums. No server accepts
@@ -46,7 +46,7 @@
 
 // ReadServerState decodes the state that a backend server reports in a response. Values that
 // cannot be parsed count as not reported, except that an invalid rate limit is returned in
-// RateLimit.Unreadable. A Retry-After date is taken relative to now.
+// RateLimit.Invalid. A Retry-After date is taken relative to now.
 func (p *Protocol) ReadServerState(now time.Time, status int, h http.Header) ServerState {
 	var state ServerState
 	if p.Leaving != "" {
@@ -73,7 +73,7 @@
 	for _, value := range values {
 		perSecond, err := strconv.ParseFloat(value, 64)
 		if err != nil || math.IsInf(perSecond, 0) || !(perSecond >= 0) { // also true for NaN
-			return RateLimit{Unreadable: strconv.Quote(value)}
+			return RateLimit{Invalid: strconv.Quote(value)}
 		}
 		perSecond = math.Min(perSecond, maxLimit)
 		if !limit.Named || perSecond < limit.PerSecond {
--- a/internal/protocol/serverstate_test.go
+++ b/internal/protocol/serverstate_test.go
@@ -38,7 +38,7 @@
 		{200, []string{"3"}, 0},
 		{301, []string{"3"}, 0},
 	} {
-		got := protocol.Own().ReadServerState(now, row.status, http.Header{"Retry-After": row.values}).Rest
+		got := protocol.Default().ReadServerState(now, row.status, http.Header{"Retry-After": row.values}).Rest
 		if got != row.want {
 			t.Errorf("%d with %q: %s, want %s", row.status, row.values, got, row.want)
 		}
@@ -51,7 +51,7 @@
 	for value, want := range map[string]bool{"true": true, "false": false, "": false} {
 		h := http.Header{"Connection": {"close"}}
 		h.Set(protocol.HeaderLeaving, value)
-		if got := protocol.Own().ReadServerState(now, 200, h).Leaving; got != want {
+		if got := protocol.Default().ReadServerState(now, 200, h).Leaving; got != want {
 			t.Errorf("%q parsed as leaving: %v", value, got)
 		}
 	}
@@ -70,16 +70,16 @@
 		{[]string{"0.1"}, protocol.RateLimit{Named: true, PerSecond: 0.1}},
 		{[]string{"1e308"}, protocol.RateLimit{Named: true, PerSecond: 1e6}},
 		{[]string{"3", "1"}, protocol.RateLimit{Named: true, PerSecond: 1}},
-		{[]string{"-1"}, protocol.RateLimit{Unreadable: `"-1"`}},
-		{[]string{"NaN"}, protocol.RateLimit{Unreadable: `"NaN"`}},
-		{[]string{"Inf"}, protocol.RateLimit{Unreadable: `"Inf"`}},
-		{[]string{"1,4"}, protocol.RateLimit{Unreadable: `"1,4"`}},
-		{[]string{""}, protocol.RateLimit{Unreadable: `""`}},
-		{[]string{"1", "x"}, protocol.RateLimit{Unreadable: `"x"`}},
+		{[]string{"-1"}, protocol.RateLimit{Invalid: `"-1"`}},
+		{[]string{"NaN"}, protocol.RateLimit{Invalid: `"NaN"`}},
+		{[]string{"Inf"}, protocol.RateLimit{Invalid: `"Inf"`}},
+		{[]string{"1,4"}, protocol.RateLimit{Invalid: `"1,4"`}},
+		{[]string{""}, protocol.RateLimit{Invalid: `""`}},
+		{[]string{"1", "x"}, protocol.RateLimit{Invalid: `"x"`}},
 	} {
 		for _, status := range []int{200, 404, 500, 503} {
 			h := http.Header{protocol.HeaderLimit: row.values, "Retry-After": {"3"}}
-			got := protocol.Own().ReadServerState(now, status, h)
+			got := protocol.Default().ReadServerState(now, status, h)
 			if got.Limit != row.want {
 				t.Errorf("%d with %q: %+v, want %+v", status, row.values, got.Limit, row.want)
 			}
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -26,11 +26,11 @@
 	table := NewTable("h1")
 	now := time.Unix(1000, 0)
 	for i := range maxSuspects {
-		table.Ended(now, contentID(fmt.Sprint(i)), End{Server: "s1", At: now})
+		table.RecordCrash(now, contentID(fmt.Sprint(i)), Crash{Server: "s1", At: now})
 	}
 	id := contentID("another")
 	b.ReportAllocs()
 	for b.Loop() {
-		table.Served(now, id)
+		table.RecordAnswer(now, id)
 	}
 }
--- a/internal/quarantine/decide.go
+++ b/internal/quarantine/decide.go
@@ -36,7 +36,7 @@
 
 // dropLifted drops the crashes from before the content's quarantine was last lifted.
 func (t *Table) dropLifted(s *suspect) {
-	s.crashes = slices.DeleteFunc(s.crashes, func(e End) bool { return !t.view.isEvidence(s.id, e) })
+	s.crashes = slices.DeleteFunc(s.crashes, func(e Crash) bool { return !t.view.isEvidence(s.id, e) })
 }
 
 // needsDecision reports whether a content's crashes call for a quarantine, or for extending the
@@ -46,7 +46,7 @@
 	if q == nil {
 		return len(s.crashes) > 0 && len(s.crashes) >= s.crashes[0].Scope.threshold()
 	}
-	return slices.ContainsFunc(s.crashes, func(e End) bool { return e.At.After(q.Until) && !q.covers(e) })
+	return slices.ContainsFunc(s.crashes, func(e Crash) bool { return e.At.After(q.Until) && !q.covers(e) })
 }
 
 // decideIfDue puts a content under quarantine once its scheduled decision is due.
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -86,12 +86,12 @@
 		again = false
 		for _, h := range f.hosts {
 			for _, m := range h.table.Messages() {
-				f.bytesSent += proto.Size(&peerpb.Datagram{From: h.name, Ends: m.Ends, Served: m.Served, TrialAsks: m.Asks, TrialGrants: m.Grants, AnsweredBefore: m.Answered})
+				f.bytesSent += proto.Size(&peerpb.Datagram{From: h.name, Ends: m.Ends, Served: m.Served, TrialAsks: m.TrialRequests, TrialGrants: m.GrantedTrials, AnsweredBefore: m.Answered})
 				to, ok := f.hosts[m.To]
 				if !ok || to.partition != h.partition || f.rng.Float64() < f.lossRate {
 					continue
 				}
-				to.table.Receive(f.now, &peerpb.Datagram{From: h.name, Ends: m.Ends, Served: m.Served, TrialAsks: m.Asks, TrialGrants: m.Grants, AnsweredBefore: m.Answered})
+				to.table.Receive(f.now, &peerpb.Datagram{From: h.name, Ends: m.Ends, Served: m.Served, TrialAsks: m.TrialRequests, TrialGrants: m.GrantedTrials, AnsweredBefore: m.Answered})
 				again = true
 			}
 			for _, d := range h.table.Decisions() {
@@ -143,13 +143,13 @@
 
 // serverCrashed lets a host observe the crash of a server that ran a content.
 func (f *fleet) serverCrashed(host string, id content.ID, server string) {
-	f.hosts[host].table.Ended(f.now, id, End{Service: "shop", Server: server, At: f.now})
+	f.hosts[host].table.RecordCrash(f.now, id, Crash{Service: "shop", Server: server, At: f.now})
 	f.deliver()
 }
 
 // answered lets a host pass on a complete answer to a content.
 func (f *fleet) answered(host string, id content.ID) {
-	f.hosts[host].table.Served(f.now, id)
+	f.hosts[host].table.RecordAnswer(f.now, id)
 	f.deliver()
 }
 
@@ -164,14 +164,14 @@
 	return n
 }
 
-func contentID(name string) content.ID { return content.Of(content.Request{Target: name}) }
+func contentID(name string) content.ID { return content.NewID(content.Request{Target: name}) }
 
 // hostsAllowedTrial lets each host request a trial, and returns those that are allowed one.
 func (f *fleet) hostsAllowedTrial(id content.ID) []string {
 	var allowed []string
 	for _, h := range f.hosts {
 		if q := h.table.view.Get(id); q != nil {
-			if ok, _ := h.table.Trial(f.now, q); ok {
+			if ok, _ := h.table.RequestTrial(f.now, q); ok {
 				allowed = append(allowed, h.name)
 			}
 		}
--- a/internal/quarantine/message.go
+++ b/internal/quarantine/message.go
@@ -11,11 +11,11 @@
 
 // Message is a message to another host.
 type Message struct {
-	To     string              // host name
-	Ends   []*peerpb.ServerEnd // crashes that this host has observed
-	Served [][]byte            // contents that were answered
-	Asks   [][]byte            // contents for which this host requests a trial
-	Grants [][]byte            // contents for which the receiver is granted a trial
+	To            string              // host name
+	Ends          []*peerpb.ServerEnd // crashes that this host has observed
+	Served        [][]byte            // contents that were answered
+	TrialRequests [][]byte            // contents for which this host requests a trial
+	GrantedTrials [][]byte            // contents for which the receiver is granted a trial
 	// Answered are contents in quarantine that this host has seen answered before the crashes.
 	Answered [][]byte
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -117,8 +117,8 @@
 	return contentThreshold
 }
 
-// End is the crash of a server while it ran a request: its process is gone.
-type End struct {
+// Crash is the crash of a server while it ran a request: its process is gone.
+type Crash struct {
 	Scope   Scope
 	Service string
 	Server  string
@@ -128,7 +128,7 @@
 }
 
 // sameCrash reports whether two reports concern the same crash of a server.
-func (e End) sameCrash(other End) bool {
+func (e Crash) sameCrash(other Crash) bool {
 	return e.Server == other.Server && e.At.Sub(other.At).Abs() < sameCrashWindow
 }
 
@@ -153,7 +153,7 @@
 	Content content.ID
 	Scope   Scope
 	Service string
-	Ends    []End
+	Ends    []Crash
 	// Until is the end of the hold. From then on the content is on trial.
 	Until time.Time
 	// Trials is the number of trials that crashed another server.
@@ -161,7 +161,7 @@
 }
 
 // covers reports whether a crash is already part of the evidence for the quarantine.
-func (q *Quarantine) covers(crash End) bool { return slices.ContainsFunc(q.Ends, crash.sameCrash) }
+func (q *Quarantine) covers(crash Crash) bool { return slices.ContainsFunc(q.Ends, crash.sameCrash) }
 
 // holdDuration returns the length of a hold after a number of failed trials.
 func (s Scope) holdDuration(trials int) time.Duration {
@@ -205,7 +205,7 @@
 
 // isEvidence reports whether a crash is evidence against a content: it must be later than the
 // last time that an answer or an operator lifted the content's quarantine.
-func (v *View) isEvidence(id content.ID, crash End) bool {
+func (v *View) isEvidence(id content.ID, crash Crash) bool {
 	if v == nil {
 		return true
 	}
@@ -219,7 +219,7 @@
 	if held := v.Get(decided.Content); held != nil && held.Trials >= decided.Trials {
 		return true
 	}
-	return !slices.ContainsFunc(decided.Ends, func(e End) bool { return v.isEvidence(decided.Content, e) })
+	return !slices.ContainsFunc(decided.Ends, func(e Crash) bool { return v.isEvidence(decided.Content, e) })
 }
 
 // All returns the quarantines, those with the latest end of their hold first.
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -82,7 +82,7 @@
 	q := &Quarantine{Content: id, Scope: scope, Service: value.Service, Trials: int(value.Trials), Until: store.Expiry(r.Key).Add(-trialPeriod)}
 	written := q.Until.Add(-q.Scope.holdDuration(q.Trials))
 	for _, e := range value.Ends {
-		q.Ends = append(q.Ends, End{Scope: scope, Service: value.Service, Server: e.Server, At: written.Add(-ageOf(e)), Host: e.Host})
+		q.Ends = append(q.Ends, Crash{Scope: scope, Service: value.Service, Server: e.Server, At: written.Add(-ageOf(e)), Host: e.Host})
 	}
 	return q, true
 }
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -125,7 +125,7 @@
 		if q == nil {
 			continue
 		}
-		if allowed, _ := table.Trial(s.f.now, q); !allowed {
+		if allowed, _ := table.RequestTrial(s.f.now, q); !allowed {
 			s.refuse(r)
 			return
 		}
@@ -200,7 +200,7 @@
 	lost = slices.DeleteFunc(lost, func(r inFlightRequest) bool { return s.f.hosts[r.host] == nil })
 	for _, r := range lost {
 		s.f.serverCrashed(r.host, r.id, id)
-		s.f.hosts[r.host].table.Ended(s.f.now, r.caller, End{Scope: ScopeCaller, Service: "shop", Server: id, At: s.f.now})
+		s.f.hosts[r.host].table.RecordCrash(s.f.now, r.caller, Crash{Scope: ScopeCaller, Service: "shop", Server: id, At: s.f.now})
 	}
 	s.f.deliver()
 	for _, r := range lost {
--- a/internal/quarantine/suspect.go
+++ b/internal/quarantine/suspect.go
@@ -10,10 +10,10 @@
 // suspect is the evidence that a host holds against a content.
 type suspect struct {
 	id      content.ID
-	crashes []End
+	crashes []Crash
 	// observed are the crashes that this host has observed itself, and notified the hosts that
 	// they were reported to. They are reported once more at resendAt, which is zero after that.
-	observed []End
+	observed []Crash
 	notified []string
 	resendAt time.Time
 	// decideAt is when this host decides unless another one has done so before; zero if no
@@ -51,13 +51,13 @@
 
 // isEvidence reports whether a crash is still evidence against a content: it has not expired, and
 // the content has not been answered since.
-func (t *Table) isEvidence(now time.Time, id content.ID, crash End) bool {
+func (t *Table) isEvidence(now time.Time, id content.ID, crash Crash) bool {
 	cleared, known := t.clearedAt[id]
 	return now.Sub(crash.At) <= evidenceTTL && (!known || crash.At.After(cleared))
 }
 
 // addCrash records a server's crash. Reports of the same crash by several hosts count once.
-func (t *Table) addCrash(now time.Time, s *suspect, crash End) {
+func (t *Table) addCrash(now time.Time, s *suspect, crash Crash) {
 	if slices.ContainsFunc(s.crashes, crash.sameCrash) {
 		return
 	}
@@ -66,7 +66,7 @@
 }
 
 // newestCrashes returns the last maxCrashes elements.
-func newestCrashes(crashes []End) []End { return crashes[max(len(crashes)-maxCrashes, 0):] }
+func newestCrashes(crashes []Crash) []Crash { return crashes[max(len(crashes)-maxCrashes, 0):] }
 
 // clear drops the evidence against a content that was answered, and lifts its quarantine.
 func (t *Table) clear(now time.Time, id content.ID) {
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -116,11 +116,11 @@
 	}
 }
 
-// Watches reports whether this host holds evidence against any content.
-func (t *Table) Watches() bool { return len(t.suspects) > 0 }
+// HasEvidence reports whether this host holds evidence against any content.
+func (t *Table) HasEvidence() bool { return len(t.suspects) > 0 }
 
-// Ended records a crash that this host has observed itself, and reports it to the content's homes.
-func (t *Table) Ended(now time.Time, id content.ID, crash End) {
+// RecordCrash records a crash that this host has observed itself, and reports it to the content's homes.
+func (t *Table) RecordCrash(now time.Time, id content.ID, crash Crash) {
 	crash.Host = t.self
 	s := t.suspect(now, id)
 	s.observed = newestCrashes(append(s.observed, crash))
@@ -130,8 +130,8 @@
 	t.addCrash(now, s, crash)
 }
 
-// Served records that a server has given a complete answer to a content.
-func (t *Table) Served(now time.Time, id content.ID) {
+// RecordAnswer records that a server has given a complete answer to a content.
+func (t *Table) RecordAnswer(now time.Time, id content.ID) {
 	t.answers.record(now, id)
 	if t.suspects[id] == nil && t.view.Get(id) == nil {
 		return
@@ -157,7 +157,7 @@
 		if !known || !ok || report.Server == "" {
 			continue // sent by another version of the daemon
 		}
-		crash := End{Scope: scope, Service: report.Service, Server: report.Server, At: now.Add(-ageOf(report)), Host: d.From}
+		crash := Crash{Scope: scope, Service: report.Service, Server: report.Server, At: now.Add(-ageOf(report)), Host: d.From}
 		if t.isEvidence(now, id, crash) {
 			t.addCrash(now, t.suspect(now, id), crash)
 		}
@@ -167,7 +167,7 @@
 	}
 	for _, id := range parseIDs(d.TrialAsks) {
 		if q := t.view.Get(id); q != nil && t.grantTrial(now, q) {
-			t.messages = append(t.messages, Message{To: d.From, Grants: [][]byte{id[:]}})
+			t.messages = append(t.messages, Message{To: d.From, GrantedTrials: [][]byte{id[:]}})
 		}
 	}
 	for _, id := range parseIDs(d.AnsweredBefore) {
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -176,7 +176,7 @@
 		t.Errorf("%d bytes sent for answers that clear nothing", f.bytesSent-before)
 	}
 	for _, h := range f.hosts {
-		if h.table.Watches() {
+		if h.table.HasEvidence() {
 			t.Errorf("%s still holds evidence", h.name)
 		}
 	}
@@ -212,7 +212,7 @@
 	now := time.Unix(1000, 0)
 	for i := range 1000 {
 		now = now.Add(time.Second / 10)
-		table.Ended(now, contentID("caller"), End{Scope: ScopeCaller, Server: fmt.Sprint("s", i), At: now})
+		table.RecordCrash(now, contentID("caller"), Crash{Scope: ScopeCaller, Server: fmt.Sprint("s", i), At: now})
 	}
 	s := table.suspects[contentID("caller")]
 	if len(s.crashes) > maxCrashes || len(s.observed) > maxCrashes {
@@ -271,11 +271,11 @@
 		}
 	}
 	q := at.table.view.Get(bad)
-	if tries, _ := at.table.Trial(f.now, q); tries {
+	if tries, _ := at.table.RequestTrial(f.now, q); tries {
 		t.Fatal("trial allowed without a grant")
 	}
 	f.deliver()
-	if tries, _ := at.table.Trial(f.now, q); !tries {
+	if tries, _ := at.table.RequestTrial(f.now, q); !tries {
 		t.Fatal("no trial granted")
 	}
 	if tried := f.hostsAllowedTrial(bad); len(tried) != 0 {
@@ -296,8 +296,8 @@
 			continue
 		}
 		server := fmt.Sprint("s", i)
-		host.table.Ended(f.now, contentID(fmt.Sprint("request", i)), End{Server: server, At: f.now})
-		host.table.Ended(f.now, contentID("caller"), End{Scope: ScopeCaller, Server: server, At: f.now})
+		host.table.RecordCrash(f.now, contentID(fmt.Sprint("request", i)), Crash{Server: server, At: f.now})
+		host.table.RecordCrash(f.now, contentID("caller"), Crash{Scope: ScopeCaller, Server: server, At: f.now})
 		f.deliver()
 		f.advance(time.Second)
 	}
@@ -329,7 +329,7 @@
 // A quarantine survives encoding to a register and decoding on another host.
 func TestRegisterRoundTrip(t *testing.T) {
 	now := time.Unix(1000, 0)
-	q := &Quarantine{Content: contentID("bad"), Service: "shop", Until: now.Add(ScopeContent.holdDuration(2)), Trials: 2, Ends: []End{{Service: "shop", Server: "s1", At: now.Add(-time.Second), Host: "h1"}}}
+	q := &Quarantine{Content: contentID("bad"), Service: "shop", Until: now.Add(ScopeContent.holdDuration(2)), Trials: 2, Ends: []Crash{{Service: "shop", Server: "s1", At: now.Add(-time.Second), Host: "h1"}}}
 	r, err := q.Register(now)
 	if err != nil {
 		t.Fatal(err)
@@ -417,7 +417,7 @@
 func TestSupersededDecisions(t *testing.T) {
 	now := time.Unix(1000, 0)
 	bad := contentID("bad")
-	decided := &Quarantine{Content: bad, Ends: []End{{Server: "s1", At: now}, {Server: "s2", At: now.Add(time.Second)}}}
+	decided := &Quarantine{Content: bad, Ends: []Crash{{Server: "s1", At: now}, {Server: "s2", At: now.Add(time.Second)}}}
 	lifted := func(at time.Time) *View {
 		store := register.NewStore()
 		lift := Lift(bad)
--- a/internal/quarantine/trial.go
+++ b/internal/quarantine/trial.go
@@ -11,11 +11,11 @@
 // has begun to crash servers since that answer, the trial costs one more server.
 const earlyTrialWindow = trialInterval
 
-// Trial reports whether this host may send a content once, to find out whether it still crashes
+// RequestTrial reports whether this host may send a content once, to find out whether it still crashes
 // servers. A trial is allowed after the hold, or early if some host remembers an answer to the
 // content. If requested is set, the host has requested a trial from the content's first home,
 // which may grant it within a round trip.
-func (t *Table) Trial(now time.Time, q *Quarantine) (allowed, requested bool) {
+func (t *Table) RequestTrial(now time.Time, q *Quarantine) (allowed, requested bool) {
 	id := q.Content
 	if until, granted := t.grantedUntil[id]; granted {
 		delete(t.grantedUntil, id)
@@ -32,9 +32,9 @@
 		return false, false
 	}
 	t.trialRequestedAt[id] = now
-	request := Message{To: first, Asks: [][]byte{id[:]}}
+	request := Message{To: first, TrialRequests: [][]byte{id[:]}}
 	if t.answers.answeredRecently(now, id) {
-		request.Answered = request.Asks // an earlier report may have been lost
+		request.Answered = request.TrialRequests // an earlier report may have been lost
 	}
 	t.messages = append(t.messages, request)
 	return false, true
--- a/internal/quota/home.go
+++ b/internal/quota/home.go
@@ -104,7 +104,7 @@
 	var grants []*peerpb.CustomerGrant
 	for _, u := range usages {
 		limit, known := t.limits(u.Customer)
-		if !known || limit.None() {
+		if !known || limit.Unlimited() {
 			continue // unknown or unlimited here; the host applies its own configuration
 		}
 		grants = append(grants, t.grant(now, from, incarnation, limit, u))
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -121,22 +121,22 @@
 	Homes []rendezvous.Node
 	// Live reports whether membership considers a host reachable.
 	Live func(host string) bool
-	// Size is the largest number of hosts that have been live at the same time.
-	Size int
+	// PeakSize is the largest number of hosts that have been live at the same time.
+	PeakSize int
 	// Settled reports whether this host has had time to learn of the others.
 	Settled bool
 }
 
 // reachableShare returns the fraction of all hosts that this one can reach.
-func (f *Fleet) reachableShare() float64 { return float64(len(f.Homes)) / float64(max(f.Size, 1)) }
+func (f *Fleet) reachableShare() float64 { return float64(len(f.Homes)) / float64(max(f.PeakSize, 1)) }
 
 // Verdict is the decision on a request.
 type Verdict struct {
 	OK bool
 	// RetryAfter is the time after which the caller of a refused request may retry.
 	RetryAfter time.Duration
-	// AskAgain is the time for which this host need not ask for another request.
-	AskAgain time.Duration
+	// Backoff is the time for which this host need not ask for another request.
+	Backoff time.Duration
 }
 
 // Message is a message from this host to another.
@@ -172,7 +172,7 @@
 	return &Table{
 		self:      self,
 		rule:      rule,
-		fleet:     Fleet{Homes: []rendezvous.Node{rendezvous.NewNode(self, "")}, Size: 1, Live: func(string) bool { return true }},
+		fleet:     Fleet{Homes: []rendezvous.Node{rendezvous.NewNode(self, "")}, PeakSize: 1, Live: func(string) bool { return true }},
 		limits:    limits,
 		customers: make(map[string]*customerState),
 		homes:     make(map[string]*home),
@@ -190,8 +190,8 @@
 // Due returns the latest time for the next call of Tick, zero for none.
 func (t *Table) Due() time.Time { return t.nextTick.Time() }
 
-// Messages returns the messages to be sent and removes them from the table.
-func (t *Table) Messages() []Message {
+// TakeMessages returns the messages to be sent and removes them from the table.
+func (t *Table) TakeMessages() []Message {
 	out := t.outbox
 	t.outbox = nil
 	return out
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -19,7 +19,7 @@
 func twoHosts(t *testing.T) (home, other *Table, name string) {
 	t.Helper()
 	nodes := []rendezvous.Node{rendezvous.NewNode("h1", ""), rendezvous.NewNode("h2", "")}
-	fleet := Fleet{Version: 1, Homes: nodes, Live: func(string) bool { return true }, Size: 2, Settled: true}
+	fleet := Fleet{Version: 1, Homes: nodes, Live: func(string) bool { return true }, PeakSize: 2, Settled: true}
 	limits := func(string) (customer.Limit, bool) { return limit, true }
 	tables := map[string]*Table{"h1": NewTable("h1", CustomerRule(), limits), "h2": NewTable("h2", CustomerRule(), limits)}
 	for _, table := range tables {
@@ -38,7 +38,7 @@
 // onlyUsage returns the queued usage report of a table, and fails unless there is exactly one.
 func onlyUsage(t *testing.T, table *Table) *peerpb.CustomerUsage {
 	t.Helper()
-	messages := table.Messages()
+	messages := table.TakeMessages()
 	if len(messages) != 1 || len(messages[0].Usages) != 1 {
 		t.Fatalf("%d messages queued, want one with one usage report", len(messages))
 	}
@@ -55,7 +55,7 @@
 	first := onlyUsage(t, other)
 	home.Usages(epoch, other.self, 1, []*peerpb.CustomerUsage{first})
 	tokens := home.homes[name].tokens
-	home.Messages() // discarded: the answer is lost
+	home.TakeMessages() // discarded: the answer is lost
 	later := epoch.Add(requestTimeout)
 	other.Tick(later)
 	repeated := onlyUsage(t, other)
@@ -66,7 +66,7 @@
 	if spent := tokens - home.homes[name].tokens; spent > 0 {
 		t.Errorf("the repeated token request took %.1f tokens, want 0", spent)
 	}
-	other.Grants(later, home.self, home.Messages()[0].Grants)
+	other.Grants(later, home.self, home.TakeMessages()[0].Grants)
 	if len(verdicts) != 1 || !verdicts[0].OK {
 		t.Errorf("verdicts %v, want one that allows the request", verdicts)
 	}
@@ -142,7 +142,7 @@
 	grant := func(from string, wanted uint32) uint32 {
 		usage := &peerpb.CustomerUsage{Customer: name, Use: 3, Ask: uint64(now.Sub(epoch)), Wanted: wanted, Again: true}
 		home.Usages(now, from, 1, []*peerpb.CustomerUsage{usage})
-		granted := home.Messages()[0].Grants[0].Granted
+		granted := home.TakeMessages()[0].Grants[0].Granted
 		return granted
 	}
 	step := func(hosts ...string) (granted uint32) {
@@ -178,7 +178,7 @@
 // only within creditTTL.
 func TestReturnedTokenIsSpentOnce(t *testing.T) {
 	table := NewTable("h1", ServerRule(), nil)
-	table.SetFleet(epoch, Fleet{Version: 1, Homes: []rendezvous.Node{rendezvous.NewNode("h1", "")}, Live: func(string) bool { return true }, Size: 1, Settled: true})
+	table.SetFleet(epoch, Fleet{Version: 1, Homes: []rendezvous.Node{rendezvous.NewNode("h1", "")}, Live: func(string) bool { return true }, PeakSize: 1, Settled: true})
 	now := epoch.Add(time.Minute)
 	take := func() bool {
 		verdict, decided := table.Take(now, "shop/i1", smallLimit, nil)
@@ -189,11 +189,11 @@
 	if take() {
 		t.Fatal("a request was allowed by an empty bucket")
 	}
-	table.Return(now, "shop/i1")
+	table.ReturnToken(now, "shop/i1")
 	if !take() || take() {
 		t.Error("the returned token was not spent exactly once")
 	}
-	table.Return(now, "shop/i1")
+	table.ReturnToken(now, "shop/i1")
 	before := now
 	now = now.Add(creditTTL + time.Millisecond)
 	spent := 0
@@ -209,7 +209,7 @@
 // they would exceed the limit.
 func TestFallbackDoesNotExceedSmallLimit(t *testing.T) {
 	const hosts = 40
-	fleet := Fleet{Version: 1, Size: hosts, Settled: true, Live: func(string) bool { return true }}
+	fleet := Fleet{Version: 1, PeakSize: hosts, Settled: true, Live: func(string) bool { return true }}
 	for n := range hosts {
 		fleet.Homes = append(fleet.Homes, rendezvous.NewNode(string(rune('a'+n)), ""))
 	}
@@ -234,7 +234,7 @@
 			if decided && verdict.OK {
 				sent++
 			}
-			table.Messages() // discarded: the home is unreachable
+			table.TakeMessages() // discarded: the home is unreachable
 		}
 	}
 	if most := int(1.5*4*smallLimit.PerSecond) + 5; sent > most {
@@ -246,7 +246,7 @@
 // capacity, and each further caller a later time.
 func TestRetryTimesOverSeveralServersAreSpread(t *testing.T) {
 	table := NewTable("h1", ServerRule(), nil)
-	table.SetFleet(epoch, Fleet{Version: 1, Homes: []rendezvous.Node{rendezvous.NewNode("h1", "")}, Live: func(string) bool { return true }, Size: 1, Settled: true})
+	table.SetFleet(epoch, Fleet{Version: 1, Homes: []rendezvous.Node{rendezvous.NewNode("h1", "")}, Live: func(string) bool { return true }, PeakSize: 1, Settled: true})
 	names := []string{"shop/i1", "shop/i2"}
 	for _, name := range names {
 		for {
@@ -258,7 +258,7 @@
 	var last time.Duration
 	const callers = 10
 	for range callers {
-		after := table.Promise(epoch, names)
+		after := table.ReserveRetry(epoch, names)
 		if after <= 0 || after < last {
 			t.Errorf("retry after %s, the previous caller after %s", after, last)
 		}
@@ -268,7 +268,7 @@
 	if last < expected/2 || last > 2*expected {
 		t.Errorf("the last of %d callers is to retry after %s; the servers take that many in %s", callers, last, expected)
 	}
-	if after := table.Promise(epoch, []string{"shop/i9"}); after != 0 {
+	if after := table.ReserveRetry(epoch, []string{"shop/i9"}); after != 0 {
 		t.Errorf("an unknown server has a retry time of %s, want 0", after)
 	}
 }
@@ -278,7 +278,7 @@
 // fallback.
 func TestRememberedSharesDoNotExceedLimit(t *testing.T) {
 	const hosts = 40
-	fleet := Fleet{Version: 1, Size: hosts, Settled: true, Live: func(string) bool { return true }}
+	fleet := Fleet{Version: 1, PeakSize: hosts, Settled: true, Live: func(string) bool { return true }}
 	tables := make(map[string]*Table)
 	for n := range hosts {
 		name := string(rune('a' + n))
@@ -293,10 +293,10 @@
 	for _, node := range slices.Concat(fleet.Homes, fleet.Homes) { // each host asks twice, in turn
 		table := tables[node.Name]
 		table.Take(now, "shop/i1", smallLimit, func(Verdict) {})
-		for _, m := range table.Messages() {
+		for _, m := range table.TakeMessages() {
 			home.Usages(now, table.self, 1, m.Usages)
 		}
-		for _, m := range home.Messages() {
+		for _, m := range home.TakeMessages() {
 			table.Grants(now, home.self, m.Grants)
 		}
 		now = now.Add(time.Second) // long enough to accrue a token
--- a/internal/quota/row.go
+++ b/internal/quota/row.go
@@ -8,43 +8,43 @@
 	"github.com/pearshelf/pearshelf/internal/customer"
 )
 
-// Row is the status of a customer that this host serves.
-type Row struct {
+// CustomerStatus is the status of a customer that this host serves.
+type CustomerStatus struct {
 	Customer string
 	Limit    customer.Limit
-	// Use is the rate of requests that this host lets through, in requests a second, and Part
+	// Rate is the rate of requests that this host lets through, in requests a second, and Part
 	// its share of the limit as granted by the home, 0 if unknown.
-	Use  float64
-	Part float64
+	Rate  float64
+	Share float64
 	// Allowed and Refused count requests at this host since its start.
 	Allowed, Refused uint64
 	Home             string
-	// Heard is the time since the home last answered, and Unheard whether it fails to answer.
-	Heard   time.Duration
-	Unheard bool
+	// SinceAnswer is the time since the home last answered, and Unheard whether it fails to answer.
+	SinceAnswer     time.Duration
+	HomeUnreachable bool
 }
 
-// Rows returns the status of the customers that this host serves, by descending request rate.
-func (t *Table) Rows(now time.Time) []Row {
-	rows := make([]Row, 0, len(t.customers))
+// CustomerStatuses returns the status of the customers that this host serves, by descending request rate.
+func (t *Table) CustomerStatuses(now time.Time) []CustomerStatus {
+	rows := make([]CustomerStatus, 0, len(t.customers))
 	for _, s := range t.customers {
-		row := Row{
-			Customer: s.name,
-			Limit:    s.limit,
-			Use:      s.meter.rate(now),
-			Part:     s.share,
-			Allowed:  s.allowedTotal,
-			Refused:  s.refusedTotal,
-			Home:     s.home,
-			Unheard:  s.homeUnreachable,
+		row := CustomerStatus{
+			Customer:        s.name,
+			Limit:           s.limit,
+			Rate:            s.meter.rate(now),
+			Share:           s.share,
+			Allowed:         s.allowedTotal,
+			Refused:         s.refusedTotal,
+			Home:            s.home,
+			HomeUnreachable: s.homeUnreachable,
 		}
 		if !s.lastGrantAt.IsZero() {
-			row.Heard = now.Sub(s.lastGrantAt)
+			row.SinceAnswer = now.Sub(s.lastGrantAt)
 		}
 		rows = append(rows, row)
 	}
-	slices.SortFunc(rows, func(a, b Row) int {
-		return cmp.Or(cmp.Compare(b.Use, a.Use), cmp.Compare(a.Customer, b.Customer))
+	slices.SortFunc(rows, func(a, b CustomerStatus) int {
+		return cmp.Or(cmp.Compare(b.Rate, a.Rate), cmp.Compare(a.Customer, b.Customer))
 	})
 	return rows
 }
--- a/internal/quota/served.go
+++ b/internal/quota/served.go
@@ -162,7 +162,7 @@
 }
 
 func (t *Table) fallbackShare(now time.Time, s *customerState) float64 {
-	hosts := float64(t.fleet.Size)
+	hosts := float64(t.fleet.PeakSize)
 	if !t.fleet.Settled {
 		hosts = math.Max(hosts, assumedFleetSize)
 	}
@@ -181,9 +181,9 @@
 	return true
 }
 
-// Return gives back the token of a request that was allowed but not sent. The next request at
+// ReturnToken gives back the token of a request that was allowed but not sent. The next request at
 // this host may use it within creditTTL.
-func (t *Table) Return(now time.Time, name string) {
+func (t *Table) ReturnToken(now time.Time, name string) {
 	s, ok := t.customers[name]
 	if !ok {
 		return
@@ -206,10 +206,10 @@
 	return true
 }
 
-// Promise returns when a request may be retried that any of the named customers could serve and
+// ReserveRetry returns when a request may be retried that any of the named customers could serve and
 // that was refused without a call of Take. The time counts as given out: the next caller gets a
 // later one.
-func (t *Table) Promise(now time.Time, names []string) time.Duration {
+func (t *Table) ReserveRetry(now time.Time, names []string) time.Duration {
 	var first *customerState
 	for _, name := range names {
 		if s, ok := t.customers[name]; ok && (first == nil || s.nextRetryAt(now).Before(first.nextRetryAt(now))) {
@@ -234,7 +234,7 @@
 	at := s.nextRetryAt(now)
 	s.lastRetryAt = at
 	s.refusedTotal++
-	return Verdict{RetryAfter: min(at.Sub(now), maxRetryAfter), AskAgain: s.backoffUntil.Sub(now)}
+	return Verdict{RetryAfter: min(at.Sub(now), maxRetryAfter), Backoff: s.backoffUntil.Sub(now)}
 }
 
 // nextRetryAt returns the retry time for the next refused caller.
--- a/internal/ratelimit/listener.go
+++ b/internal/ratelimit/listener.go
@@ -28,8 +28,8 @@
 	Kind      Kind
 	Server    process.Server
 	PerSecond float64
-	// Before is the previous limit in requests a second, for Changed and Ended.
-	Before float64
+	// Previous is the previous limit in requests a second, for Changed and Ended.
+	Previous float64
 	// Since is when a host first learned that the server has a limit.
 	Since time.Time
 }
@@ -62,11 +62,11 @@
 	return &Listener{lastReport: make(map[process.Key]lastReport), unreadable: make(map[process.Key]bool)}
 }
 
-// Hear compares the rate limit in an answer with the view and returns the report for all hosts, or
+// Observe compares the rate limit in an answer with the view and returns the report for all hosts, or
 // false if there is nothing to report. sentAt is when the request of the answer was sent.
-func (l *Listener) Hear(now time.Time, view *View, server process.Server, sentAt time.Time, announced protocol.RateLimit) (Report, bool) {
+func (l *Listener) Observe(now time.Time, view *View, server process.Server, sentAt time.Time, announced protocol.RateLimit) (Report, bool) {
 	current, known := view.Named(server.Key())
-	if !known && !announced.Named || announced.Unreadable != "" {
+	if !known && !announced.Named || announced.Invalid != "" {
 		return Report{}, false
 	}
 	report, isNew := compare(now, current, known, server, sentAt, announced)
@@ -90,11 +90,11 @@
 	case !announced.Named:
 		// The server may have started to answer before it had a limit.
 		isLater := sentAt.After(current.LearnedAt)
-		return Report{Kind: Ended, Server: server, Before: current.PerSecond}, isLater && now.Sub(current.LearnedAt) >= minHold
+		return Report{Kind: Ended, Server: server, Previous: current.PerSecond}, isLater && now.Sub(current.LearnedAt) >= minHold
 	case current.isSimilar(announced.PerSecond):
 		return Report{Kind: Repeated, Server: server, PerSecond: current.PerSecond, Since: current.Since}, current.Until.Sub(now) < limitTTL/2
 	default:
-		report := Report{Kind: Changed, Server: server, PerSecond: announced.PerSecond, Before: current.PerSecond, Since: current.Since}
+		report := Report{Kind: Changed, Server: server, PerSecond: announced.PerSecond, Previous: current.PerSecond, Since: current.Since}
 		return report, announced.PerSecond < current.PerSecond || now.Sub(current.LearnedAt) >= minHold
 	}
 }
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -48,8 +48,8 @@
 	Since     time.Time
 	LearnedAt time.Time
 	Until     time.Time
-	// HeardBy is the host that received the value from the server.
-	HeardBy string
+	// ReportedBy is the host that received the value from the server.
+	ReportedBy string
 }
 
 // Allowed returns the rate that hosts may send, in requests a second.
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -47,7 +47,7 @@
 // hear passes an answer to a host without earlier reports, and merges its report into the store.
 func (f *fleet) hear(t *testing.T, now time.Time, s process.Server, sentAt time.Time, announced protocol.RateLimit) (Kind, bool) {
 	t.Helper()
-	report, isNew := NewListener().Hear(now, f.view(), s, sentAt, announced)
+	report, isNew := NewListener().Observe(now, f.view(), s, sentAt, announced)
 	if isNew {
 		f.merge(t, now, report)
 	}
@@ -76,7 +76,7 @@
 	later := start.Add(30 * time.Second)
 	f.hear(t, later, server, later, named(1))
 	limit, _ := f.view().Of(server)
-	if limit.PerSecond != 1 || !limit.Since.Equal(start) || limit.HeardBy != "h1" {
+	if limit.PerSecond != 1 || !limit.Since.Equal(start) || limit.ReportedBy != "h1" {
 		t.Errorf("%+v", limit)
 	}
 }
@@ -90,7 +90,7 @@
 	if _, isNew := f.hear(t, later, server, start.Add(-time.Millisecond), protocol.RateLimit{}); isNew {
 		t.Error("the answer to a request sent before the limit was learned ended the limit")
 	}
-	if _, isNew := f.hear(t, later, server, later, protocol.RateLimit{Unreadable: `"x"`}); isNew {
+	if _, isNew := f.hear(t, later, server, later, protocol.RateLimit{Invalid: `"x"`}); isNew {
 		t.Error("an unreadable value was reported")
 	}
 	f.expect(t, server, 2)
@@ -163,7 +163,7 @@
 func TestPropagatingReportIsNotRepeated(t *testing.T) {
 	l := NewListener()
 	hear := func(now time.Time, perSecond float64) bool {
-		_, isNew := l.Hear(now, nil, server, now, named(perSecond))
+		_, isNew := l.Observe(now, nil, server, now, named(perSecond))
 		return isNew
 	}
 	if !hear(start, 2) || hear(start.Add(time.Millisecond), 2) || hear(start.Add(2*time.Millisecond), 3) {
@@ -184,11 +184,11 @@
 		limits[i].Server = process.Server{Service: "shop", ID: fmt.Sprint("b", i)}
 	}
 	l := NewListener()
-	if _, isNew := l.Hear(start, NewView(limits), server, start, named(2)); isNew {
+	if _, isNew := l.Observe(start, NewView(limits), server, start, named(2)); isNew {
 		t.Error("a limit beyond maxLimits was reported")
 	}
 	for i := range 3 * maxTracked {
-		l.Hear(start, nil, process.Server{Service: "shop", ID: fmt.Sprint(i)}, start, named(2))
+		l.Observe(start, nil, process.Server{Service: "shop", ID: fmt.Sprint(i)}, start, named(2))
 		l.FirstUnreadable(process.Server{Service: "shop", ID: fmt.Sprint(i)})
 	}
 	if len(l.lastReport) > maxTracked || len(l.unreadable) > maxTracked {
--- a/internal/ratelimit/register.go
+++ b/internal/ratelimit/register.go
@@ -51,11 +51,11 @@
 	until := store.Expiry(r.Key)
 	learned := until.Add(-time.Duration(r.TtlMs) * time.Millisecond)
 	return Limit{
-		Server:    process.Server{Service: key.Service, ID: key.ID, Started: value.Started},
-		PerSecond: value.PerSecond,
-		Since:     learned.Add(-time.Duration(value.AgeMs) * time.Millisecond),
-		LearnedAt: learned,
-		Until:     until,
-		HeardBy:   r.GetStamp().GetHost(),
+		Server:     process.Server{Service: key.Service, ID: key.ID, Started: value.Started},
+		PerSecond:  value.PerSecond,
+		Since:      learned.Add(-time.Duration(value.AgeMs) * time.Millisecond),
+		LearnedAt:  learned,
+		Until:      until,
+		ReportedBy: r.GetStamp().GetHost(),
 	}, true
 }
--- a/internal/region/region.go
+++ b/internal/region/region.go
@@ -28,8 +28,8 @@
 	return Homes{bound: true, regions: slices.Compact(slices.Sorted(slices.Values(regions)))}
 }
 
-// And returns the intersection of two homes. If it is empty, no region is allowed.
-func (h Homes) And(other Homes) Homes {
+// Intersect returns the intersection of two homes. If it is empty, no region is allowed.
+func (h Homes) Intersect(other Homes) Homes {
 	switch {
 	case !h.bound:
 		return other
@@ -45,11 +45,11 @@
 	return both
 }
 
-// Bound reports whether there is a restriction.
-func (h Homes) Bound() bool { return h.bound }
+// Restricted reports whether there is a restriction.
+func (h Homes) Restricted() bool { return h.bound }
 
-// Allow reports whether the region of a data centre is allowed. If it is unknown, it is not.
-func (h Homes) Allow(regions Map, dataCentre string) bool {
+// Allows reports whether the region of a data centre is allowed. If it is unknown, it is not.
+func (h Homes) Allows(regions Map, dataCentre string) bool {
 	if !h.bound {
 		return true
 	}
--- a/internal/region/region_test.go
+++ b/internal/region/region_test.go
@@ -28,12 +28,12 @@
 		{[]string{"nowhere"}, nil, "dc1", false},
 	}
 	for _, c := range cases {
-		homes := region.HomesOf(c.route).And(region.HomesOf(c.customer))
-		if got := homes.Allow(regions, c.dataCentre); got != c.allowed {
+		homes := region.HomesOf(c.route).Intersect(region.HomesOf(c.customer))
+		if got := homes.Allows(regions, c.dataCentre); got != c.allowed {
 			t.Errorf("homes %v and %v: %s is allowed: %v, want %v", c.route, c.customer, c.dataCentre, got, c.allowed)
 		}
-		if homes.Bound() != (len(c.route)+len(c.customer) > 0) {
-			t.Errorf("homes %v and %v: Bound returned %v", c.route, c.customer, homes.Bound())
+		if homes.Restricted() != (len(c.route)+len(c.customer) > 0) {
+			t.Errorf("homes %v and %v: Bound returned %v", c.route, c.customer, homes.Restricted())
 		}
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -37,7 +37,7 @@
 	DefaultReadHeaderTimeout = 5 * time.Second
 	DefaultIdleTimeout       = 120 * time.Second
 	DefaultBodyIdleTimeout   = 30 * time.Second
-	DefaultEventRing         = 8192
+	DefaultEventLogCapacity  = 8192
 	MaxBufferBytes           = 16 << 20
 	maxCores                 = 4096
 	maxMemoryMB              = 16 << 20
@@ -170,9 +170,9 @@
 
 // Policy configures backend selection when forwarding is off.
 type Policy struct {
-	// Without lists mechanisms to disable, to measure their effect; see
+	// DisabledMechanisms lists mechanisms to disable, to measure their effect; see
 	// policy.Mechanisms. Default: none.
-	Without []policy.Mechanism `yaml:"without"`
+	DisabledMechanisms []policy.Mechanism `yaml:"without"`
 }
 
 // Backend configures connections to backend servers.
@@ -358,7 +358,7 @@
 	if s.Caller.MaxHeaderBytes < 1<<10 || s.Caller.MaxHeaderBytes > 1<<20 {
 		v.addf("caller.max_header_bytes", "%d is outside 1024 to 1048576", s.Caller.MaxHeaderBytes)
 	}
-	for _, m := range s.Policy.Without {
+	for _, m := range s.Policy.DisabledMechanisms {
 		if !slices.Contains(policy.Mechanisms(), m) {
 			v.addf("policy.without", "unknown mechanism %q, valid mechanisms are %v", m, policy.Mechanisms())
 		}
--- a/internal/sharing/message.go
+++ b/internal/sharing/message.go
@@ -16,33 +16,33 @@
 type Message struct {
 	To    []string // addresses
 	Loads []*peerpb.BackendLoad
-	// Near is set for receivers in this data centre. They receive reports of all requests, other
+	// Local is set for receivers in this data centre. They receive reports of all requests, other
 	// hosts only of failures, because traffic between data centres is expensive.
-	Near bool
+	Local bool
 }
 
-// Near returns the messages to hosts of this data centre. The load of this host on a server goes
+// Local returns the messages to hosts of this data centre. The load of this host on a server goes
 // to the hosts whose subsets contain the server, the totals of a service to this host's segment.
 // service returns the servers of a service, or nil.
-func (f *Fleet) Near(loads []*peerpb.BackendLoad, service func(name string) *Service) []Message {
+func (f *Fleet) Local(loads []*peerpb.BackendLoad, service func(name string) *Service) []Message {
 	return groupMessages(loads, true, func(l *peerpb.BackendLoad, add func([]string)) {
 		if l.Backend == "" {
 			add(f.segment)
 		} else if s := service(l.Service); s != nil {
-			add(f.Audience(s, l.Backend, f.self.DataCentre))
+			add(f.Recipients(s, l.Backend, f.self.DataCentre))
 		}
 	})
 }
 
-// Far returns the messages to hosts of other data centres. Failures go to the hosts whose subsets
+// Remote returns the messages to hosts of other data centres. Failures go to the hosts whose subsets
 // contain the server.
-func (f *Fleet) Far(failing []*peerpb.BackendLoad, service func(name string) *Service) []Message {
+func (f *Fleet) Remote(failing []*peerpb.BackendLoad, service func(name string) *Service) []Message {
 	return groupMessages(failing, false, func(l *peerpb.BackendLoad, add func([]string)) {
 		s := service(l.Service)
 		if s == nil {
 			return
 		}
-		f.forEachRemoteDataCentre(func(dataCentre string) { add(f.Audience(s, l.Backend, dataCentre)) })
+		f.forEachRemoteDataCentre(func(dataCentre string) { add(f.Recipients(s, l.Backend, dataCentre)) })
 	})
 }
 
@@ -75,7 +75,7 @@
 	}
 	var all []Message
 	for _, chosen := range slices.SortedFunc(maps.Keys(receivers), cmp.Compare) {
-		all = append(all, Message{To: receivers[chosen], Loads: chosen.selected(loads), Near: local})
+		all = append(all, Message{To: receivers[chosen], Loads: chosen.selected(loads), Local: local})
 	}
 	return all
 }
--- a/internal/sharing/sharing.go
+++ b/internal/sharing/sharing.go
@@ -107,7 +107,7 @@
 	for name, dataCentre := range dataCentres {
 		joined = append(joined, Server{Name: name, DataCentre: dataCentre})
 	}
-	return (&Service{}).With(joined, nil)
+	return (&Service{}).Updated(joined, nil)
 }
 
 // Server is a server of a service.
@@ -116,9 +116,9 @@
 	DataCentre string
 }
 
-// With returns the service after servers have joined and left. Rings of data centres without
+// Updated returns the service after servers have joined and left. Rings of data centres without
 // changes are reused.
-func (s *Service) With(joined, left []Server) *Service {
+func (s *Service) Updated(joined, left []Server) *Service {
 	added, removed := namesByDataCentre(joined), namesByDataCentre(left)
 	next := &Service{rings: maps.Clone(s.rings)}
 	if next.rings == nil {
@@ -164,9 +164,9 @@
 	return subset
 }
 
-// Audience returns the addresses of the other hosts of a data centre whose subsets contain a
+// Recipients returns the addresses of the other hosts of a data centre whose subsets contain a
 // server.
-func (f *Fleet) Audience(s *Service, server, dataCentre string) []string {
+func (f *Fleet) Recipients(s *Service, server, dataCentre string) []string {
 	servers, position, ok := s.locate(server)
 	if !ok {
 		return nil
--- a/internal/sharing/sharing_test.go
+++ b/internal/sharing/sharing_test.go
@@ -106,7 +106,7 @@
 	if f.SegmentSize() != 12 {
 		t.Errorf("segment of %d hosts, want 12", f.SegmentSize())
 	}
-	if near := f.Audience(s.service, "b0-0", "dc0"); len(near) != 11 {
+	if near := f.Recipients(s.service, "b0-0", "dc0"); len(near) != 11 {
 		t.Errorf("%d recipients, want 11", len(near))
 	}
 }
@@ -124,7 +124,7 @@
 					users = append(users, h.Name)
 				}
 			}
-			recipients := f.Audience(s.service, server, dataCentre)
+			recipients := f.Recipients(s.service, server, dataCentre)
 			slices.Sort(recipients)
 			slices.Sort(users)
 			if !slices.Equal(recipients, users) {
@@ -213,8 +213,8 @@
 	}
 	loads := []*peerpb.BackendLoad{{Service: "seats", Backend: "b0-1"}, {Service: "seats"}, {Service: "gone", Backend: "b0-2"}}
 	received := make(map[string][]*peerpb.BackendLoad)
-	for _, m := range f.Near(loads, service) {
-		if !m.Near || len(m.Loads) == 0 {
+	for _, m := range f.Local(loads, service) {
+		if !m.Local || len(m.Loads) == 0 {
 			t.Errorf("message %+v", m)
 		}
 		for _, to := range m.To {
@@ -224,7 +224,7 @@
 			received[to] = m.Loads
 		}
 	}
-	audience := f.Audience(s.service, "b0-1", "dc0")
+	audience := f.Recipients(s.service, "b0-1", "dc0")
 	for to, got := range received {
 		if slices.Contains(got, loads[0]) != slices.Contains(audience, to) || slices.Contains(got, loads[1]) != slices.Contains(f.Segment(), to) {
 			t.Errorf("%s receives %v", to, got)
@@ -233,8 +233,8 @@
 	if len(received) < max(len(audience), len(f.Segment())) {
 		t.Errorf("%d receivers", len(received))
 	}
-	for _, m := range f.Far(loads[:1], service) {
-		if m.Near || !slices.Equal(m.To, slices.Sorted(slices.Values(f.Audience(s.service, "b0-1", "dc1")))) {
+	for _, m := range f.Remote(loads[:1], service) {
+		if m.Local || !slices.Equal(m.To, slices.Sorted(slices.Values(f.Recipients(s.service, "b0-1", "dc1")))) {
 			t.Errorf("remote message %+v", m)
 		}
 	}
@@ -263,7 +263,7 @@
 			joined = append(joined, added)
 			held[added.Name] = added.DataCentre
 		}
-		changed = changed.With(joined, left)
+		changed = changed.Updated(joined, left)
 		rebuilt := NewService(held)
 		f := fleet(s.hosts, random.IntN(len(s.hosts)))
 		got, want := f.Subset(changed), f.Subset(rebuilt)
@@ -273,7 +273,7 @@
 			t.Fatalf("round %d: subset %v, want %v as of a new service", round, got, want)
 		}
 		for name := range held {
-			if !slices.Equal(f.Audience(changed, name, "dc0"), f.Audience(rebuilt, name, "dc0")) {
+			if !slices.Equal(f.Recipients(changed, name, "dc0"), f.Recipients(rebuilt, name, "dc0")) {
 				t.Fatalf("round %d: audience of %s differs from that of a new service", round, name)
 			}
 		}
--- a/internal/slots/pool.go
+++ b/internal/slots/pool.go
@@ -155,7 +155,7 @@
 }
 
 func noEligibleServer(view *world.ServiceView) error {
-	return errs.New(errs.KindNoBackend, "no backend server of "+view.Config.Name+" may take this request", "repeat it after the time in Retry-After")
+	return errs.New(errs.KindNoBackendServer, "no backend server of "+view.Config.Name+" may take this request", "repeat it after the time in Retry-After")
 }
 
 // Full reports whether the queue is full, so that a request that finds no free slot is
--- a/internal/slots/pool_test.go
+++ b/internal/slots/pool_test.go
@@ -34,11 +34,11 @@
 		time.Sleep(time.Millisecond)
 	}
 	unavailable.Store(true)
-	if err := <-secondErr; errs.KindOf(err) != errs.KindNoBackend {
+	if err := <-secondErr; errs.KindOf(err) != errs.KindNoBackendServer {
 		t.Errorf("waiting request: got %v, want KindNoBackend", err)
 	}
 	first.Release()
-	if _, err := pool.Acquire(context.Background(), view, req); errs.KindOf(err) != errs.KindNoBackend {
+	if _, err := pool.Acquire(context.Background(), view, req); errs.KindOf(err) != errs.KindNoBackendServer {
 		t.Errorf("request to an unavailable server with a free slot: got %v, want KindNoBackend", err)
 	}
 }
--- a/internal/system/configsync/answer.go
+++ b/internal/system/configsync/answer.go
@@ -37,9 +37,9 @@
 		return &peerpb.DocumentResponse{Revision: doc.Revision}, nil
 	}
 	if doc.Answers.Revision != doc.Revision || now.Sub(doc.Answers.MadeAt) > answerCacheTTL {
-		doc.Answers = world.DocumentAnswers{Revision: doc.Revision, MadeAt: now, ByHeld: make(map[uint64]*peerpb.DocumentResponse)}
+		doc.Answers = world.DocumentAnswers{Revision: doc.Revision, MadeAt: now, ByBaseRevision: make(map[uint64]*peerpb.DocumentResponse)}
 	}
-	if cached, ok := doc.Answers.ByHeld[after]; ok {
+	if cached, ok := doc.Answers.ByBaseRevision[after]; ok {
 		return cached, nil
 	}
 	raw, err := contentFor(w, now, doc, after)
@@ -50,7 +50,7 @@
 	if len(raw) >= minCompressBytes {
 		resp.Document, resp.Gzipped = compress(raw), true
 	}
-	doc.Answers.ByHeld[after] = resp
+	doc.Answers.ByBaseRevision[after] = resp
 	return resp, nil
 }
 
@@ -77,18 +77,18 @@
 	return out.Bytes()
 }
 
-// Content returns the document in a peer's response, decompressed if necessary.
-func Content(resp *peerpb.DocumentResponse) ([]byte, error) {
+// DecodeContent returns the document in a peer's response, decompressed if necessary.
+func DecodeContent(resp *peerpb.DocumentResponse) ([]byte, error) {
 	if !resp.Gzipped {
 		return resp.Document, nil
 	}
 	reader, err := gzip.NewReader(bytes.NewReader(resp.Document))
 	if err != nil {
-		return nil, errs.Wrap(err, errs.KindPeer, "document from a peer has no valid gzip header", "no action needed: the document is fetched again")
+		return nil, errs.Wrap(err, errs.KindPeerUnreachable, "document from a peer has no valid gzip header", "no action needed: the document is fetched again")
 	}
 	raw, err := io.ReadAll(io.LimitReader(reader, maxDocumentBytes))
 	if err != nil {
-		return nil, errs.Wrap(err, errs.KindPeer, "document from a peer cannot be decompressed", "no action needed: the document is fetched again")
+		return nil, errs.Wrap(err, errs.KindPeerUnreachable, "document from a peer cannot be decompressed", "no action needed: the document is fetched again")
 	}
 	return raw, nil
 }
--- a/internal/system/configsync/apply.go
+++ b/internal/system/configsync/apply.go
@@ -51,7 +51,7 @@
 
 func recordOlder(w *world.World, now time.Time, doc *world.Document, revision uint64) {
 	if revision < doc.Revision {
-		w.Record(now, event.ConfigOlder, "", "", fmt.Sprintf("%s revision %d ignored, %d is in force", doc.Key, revision, doc.Revision))
+		w.Record(now, event.ConfigOlderIgnored, "", "", fmt.Sprintf("%s revision %d ignored, %d is in force", doc.Key, revision, doc.Revision))
 	}
 }
 
@@ -229,7 +229,7 @@
 		svc.Backends = append(svc.Backends, mergeBackend(w, now, held, b))
 	}
 	slices.SortFunc(svc.Backends, byID)
-	svc.Busy = svc.Busy || known && !w.DirectPicking
+	svc.DetectionActive = svc.DetectionActive || known && !w.DirectPicking
 	w.Services[conf.Name] = svc
 }
 
--- a/internal/system/configsync/configsync.go
+++ b/internal/system/configsync/configsync.go
@@ -35,8 +35,8 @@
 	// fetching the document, which it checks for every DocumentRecheck. It is shorter than
 	// FetchRetry, after which the caller asks again. When all hosts start at once, each
 	// level of the tree then takes one fetch instead of a retry.
-	DocumentWait    = 150 * time.Millisecond
-	DocumentRecheck = 10 * time.Millisecond
+	DocumentWait         = 150 * time.Millisecond
+	DocumentPollInterval = 10 * time.Millisecond
 	// MinFetchInterval is the minimum time from applying a revision to the next fetch.
 	// Backend servers that start together cause hundreds of revisions within two seconds,
 	// and the processor time for each grows with the number of servers.
@@ -88,14 +88,14 @@
 	// host ready sooner but cost platform reads when the whole fleet restarts.
 	DirectAfter  time.Duration
 	DirectSpread time.Duration
-	// First is set on hosts that others know from their settings. They wait only
+	// IsSeed is set on hosts that others know from their settings. They wait only
 	// DirectAfter before they ask the platform. Other hosts wait at least
 	// DirectSpread longer, by when they may have discovered one of these.
-	First bool
-	// StandIn enables failover: hosts take over from a reader that sends no
+	IsSeed bool
+	// ReaderFailover enables failover: hosts take over from a reader that sends no
 	// heartbeats or gets no answers. Without it, readers change with the
 	// membership only.
-	StandIn bool
+	ReaderFailover bool
 }
 
 // System is the document distribution step of a tick.
@@ -133,7 +133,7 @@
 // short one, and these announce the documents before the others ask, whatever the fleet size
 // (timer suppression, as in Nonnenmacher and Biersack, "Optimal multicast feedback", 1998).
 func (s *System) initialReadDelay() time.Duration {
-	if s.conf.First || s.conf.DirectSpread <= 0 {
+	if s.conf.IsSeed || s.conf.DirectSpread <= 0 {
 		return 0
 	}
 	part := math.Log(1+s.rng.Float64()*(suppressionFleetSize-1)) / math.Log(suppressionFleetSize)
@@ -144,12 +144,12 @@
 // settled is no reader: it knows few others and would often be chosen, so that
 // after a restart of the fleet every host would read all documents.
 func IsReader(w *world.World) bool {
-	return w.Settled && (w.StandsIn || slices.Contains(w.Readers, w.Self.Host))
+	return w.Settled && (w.IsSubstituteReader || slices.Contains(w.Readers, w.Self.Host))
 }
 
-// Active reports whether the system has work at the next tick: this host is a reader, or a
+// NeedsTick reports whether the system has work at the next tick: this host is a reader, or a
 // fetch is in progress.
-func Active(w *world.World, now time.Time) bool {
+func NeedsTick(w *world.World, now time.Time) bool {
 	if IsReader(w) {
 		return true
 	}
@@ -180,7 +180,7 @@
 			continue
 		}
 		doc := w.Document(head.Key)
-		if doc.Lacks(head.Revision) {
+		if doc.Needs(head.Revision) {
 			s.fetch(w, now, doc, fetchSource{holder: head.Holder})
 		}
 	}
@@ -198,15 +198,15 @@
 	}
 }
 
-// Current reports whether this host holds the newest revision that it knows of,
+// UpToDate reports whether this host holds the newest revision that it knows of,
 // from the index or from peers, of every document.
-func Current(w *world.World) bool {
+func UpToDate(w *world.World) bool {
 	if missesRequired(w) || len(Wanted(w)) > 0 {
 		return false
 	}
 	for _, r := range w.Registers.Prefix(headPrefix) {
 		doc := w.Document(strings.TrimPrefix(r.Key, headPrefix))
-		if doc.Lacks(r.Stamp.Revision) {
+		if doc.Needs(r.Stamp.Revision) {
 			return false
 		}
 	}
@@ -232,7 +232,7 @@
 	var wanted []*world.Document
 	for shard, revision := range w.Index.Shards {
 		held := w.Document(world.KeyShardPrefix + shard)
-		if held.Lacks(revision) {
+		if held.Needs(revision) {
 			wanted = append(wanted, held)
 		}
 	}
@@ -243,7 +243,7 @@
 // otherwise at long intervals.
 func (s *System) poll(w *world.World, now time.Time) {
 	if missesRequired(w) && !now.Before(s.directAt) {
-		if discoveryEnd := w.StartedAt.Add(PeerDiscoveryWait); s.conf.StandIn && !s.conf.First && len(w.Hosts) <= 1 && now.Before(discoveryEnd) {
+		if discoveryEnd := w.StartedAt.Add(PeerDiscoveryWait); s.conf.ReaderFailover && !s.conf.IsSeed && len(w.Hosts) <= 1 && now.Before(discoveryEnd) {
 			s.directAt = discoveryEnd // other hosts may be discovered by then
 			return
 		}
@@ -253,20 +253,20 @@
 				continue
 			}
 			if doc := w.Document(key); doc.Revision == 0 && !s.availableFromPeers(w, now, doc) {
-				w.Out.Fetches = append(w.Out.Fetches, world.Fetch{Key: key, Platform: true})
+				w.Outbox.Fetches = append(w.Outbox.Fetches, world.Fetch{Key: key, Platform: true})
 			}
 		}
 		return
 	}
 	// With reader failover, a host that hears no reader becomes one. Polls by all hosts, each for
 	// the full list of servers, would only add calls.
-	if s.conf.StandIn || now.Before(s.nextPoll) {
+	if s.conf.ReaderFailover || now.Before(s.nextPoll) {
 		return
 	}
 	interval := hostPollInterval(len(w.Hosts))
 	s.nextPoll = now.Add(interval/2 + jitter(s.rng, interval))
 	for _, key := range w.Polled {
-		w.Out.Fetches = append(w.Out.Fetches, world.Fetch{Key: key, After: w.Document(key).Revision, Platform: true})
+		w.Outbox.Fetches = append(w.Outbox.Fetches, world.Fetch{Key: key, After: w.Document(key).Revision, Platform: true})
 	}
 }
 
@@ -274,7 +274,7 @@
 // readers, including itself after a failover: a list of thousands of servers costs the platform
 // several megabytes per host. A host that knows no other reads the document itself.
 func (s *System) defersToReaders(w *world.World, key string) bool {
-	return key == world.KeyDiscovered && s.conf.StandIn && !s.conf.First && len(w.Hosts) > 1
+	return key == world.KeyDiscovered && s.conf.ReaderFailover && !s.conf.IsSeed && len(w.Hosts) > 1
 }
 
 // availableFromPeers reports whether a missing document is expected from peers: a reader is
@@ -286,7 +286,7 @@
 	if w.Registers.Stamp(HeadKey(doc.Key)) != nil {
 		return doc.Attempts <= ParentAttempts
 	}
-	return !s.conf.First && len(w.Registers.Prefix(headPrefix)) > 0 && now.Sub(w.StartedAt) < DeferToReadersFor
+	return !s.conf.IsSeed && len(w.Registers.Prefix(headPrefix)) > 0 && now.Sub(w.StartedAt) < DeferToReadersFor
 }
 
 // fetchSource describes where to fetch a document from.
@@ -307,16 +307,16 @@
 	}
 	doc.Fetching = now.Add(retryAfter(doc))
 	doc.Attempts++
-	f := world.Fetch{Key: doc.Key, After: doc.Held(), Platform: source.platform || doc.Attempts > PeerAttempts}
+	f := world.Fetch{Key: doc.Key, After: doc.BaseRevision(), Platform: source.platform || doc.Attempts > PeerAttempts}
 	if !source.platform {
 		f.Peers = s.peerAddresses(w, doc, source)
 	}
 	f.Platform = f.Platform || len(f.Peers) == 0
-	w.Out.Fetches = append(w.Out.Fetches, f)
+	w.Outbox.Fetches = append(w.Outbox.Fetches, f)
 }
 
-// TimeoutOf returns the time that one peer may take to answer a fetch.
-func TimeoutOf(f world.Fetch) time.Duration {
+// FetchTimeout returns the time that one peer may take to answer a fetch.
+func FetchTimeout(f world.Fetch) time.Duration {
 	if f.After == 0 {
 		return FirstPeerTimeout
 	}
@@ -324,14 +324,14 @@
 }
 
 func retryAfter(doc *world.Document) time.Duration {
-	if doc.Held() == 0 {
+	if doc.BaseRevision() == 0 {
 		return FirstFetchRetry
 	}
 	return FetchRetry
 }
 
-// FetchedNothing records that a fetch ended without a document.
-func FetchedNothing(w *world.World, now time.Time, key string) {
+// FetchFailed records that a fetch ended without a document.
+func FetchFailed(w *world.World, now time.Time, key string) {
 	if doc := w.Document(key); doc.Fetching.After(now.Add(FailedFetchPause)) {
 		doc.Fetching = now.Add(FailedFetchPause)
 	}
--- a/internal/system/configsync/configsync_test.go
+++ b/internal/system/configsync/configsync_test.go
@@ -69,7 +69,7 @@
 	asked := make(map[string]bool)
 	for now := epoch; now.Before(epoch.Add(10 * time.Second)); now = now.Add(configsync.FetchRetry) {
 		system.Run(w, now)
-		for _, fetch := range w.Out.Take().Fetches {
+		for _, fetch := range w.Outbox.Take().Fetches {
 			for _, address := range fetch.Peers {
 				asked[address] = true
 			}
@@ -95,7 +95,7 @@
 	const hours = 200
 	for now := epoch; now.Before(epoch.Add(hours * time.Hour)); now = now.Add(30 * time.Second) {
 		system.Run(w, now)
-		calls += len(w.Out.Take().Fetches)
+		calls += len(w.Outbox.Take().Fetches)
 	}
 	return float64(n*calls) / hours
 }
@@ -119,7 +119,7 @@
 	asked := make(map[string]int)
 	for now := epoch; now.Before(epoch.Add(5 * time.Second)); now = now.Add(tick) {
 		system.Run(w, now)
-		for _, f := range w.Out.Take().Fetches {
+		for _, f := range w.Outbox.Take().Fetches {
 			asked[f.Key]++
 		}
 	}
--- a/internal/system/configsync/discovered.go
+++ b/internal/system/configsync/discovered.go
@@ -66,7 +66,7 @@
 
 // applyUpdates applies changes of registered backend servers to the services.
 func applyUpdates(w *world.World, now time.Time, updates []registry.Update, grace time.Duration) {
-	if !w.Platform.MayHaveLapsed(now) {
+	if !w.Platform.RegistrationsMayHaveExpired(now) {
 		grace = 0
 	}
 	byService := make(map[string][]replacement)
@@ -112,7 +112,7 @@
 		func(held *world.BackendServer) string { return held.Config.ID },
 		func(b config.Backend) *world.BackendServer { return mergeBackend(w, now, held, b) })
 	svc.Dirty = true
-	svc.Busy = svc.Busy || !w.DirectPicking
+	svc.DetectionActive = svc.DetectionActive || !w.DirectPicking
 	w.Services[service] = &svc
 }
 
--- a/internal/system/configsync/failover.go
+++ b/internal/system/configsync/failover.go
@@ -60,14 +60,14 @@
 	nextHeartbeat time.Time
 }
 
-// Answered records that the platform has answered this host's watch.
-func (s *System) Answered(w *world.World, now time.Time) {
+// PlatformAnswered records that the platform has answered this host's watch.
+func (s *System) PlatformAnswered(w *world.World, now time.Time) {
 	s.failover.lastOwnAnswer = now
 	w.Platform.Answered(now)
 }
 
-// Heartbeat handles a heartbeat received from a reader.
-func (s *System) Heartbeat(w *world.World, now time.Time, d *peerpb.Datagram) {
+// HandleHeartbeat handles a heartbeat received from a reader.
+func (s *System) HandleHeartbeat(w *world.World, now time.Time, d *peerpb.Datagram) {
 	s.failover.lastHeartbeat = now
 	s.failover.heardReader = true
 	if !d.Unanswered {
@@ -75,7 +75,7 @@
 	}
 	for _, head := range d.Heads {
 		doc := w.Document(head.Key)
-		if doc.Lacks(head.Revision) {
+		if doc.Needs(head.Revision) {
 			s.fetch(w, now, doc, fetchSource{holder: d.From, holderFirst: len(w.ReaderOrder) <= maxFetchers(w, d.From)})
 		}
 	}
@@ -91,7 +91,7 @@
 
 // updateReaderRole decides whether this host takes over from a reader.
 func (s *System) updateReaderRole(w *world.World, now time.Time) {
-	if !s.conf.StandIn {
+	if !s.conf.ReaderFailover {
 		return
 	}
 	answerAge := now.Sub(s.failover.lastReaderAnswer)
@@ -106,7 +106,7 @@
 	case answerAge < staleAfter:
 		s.failover.active = false
 	}
-	w.StandsIn = s.failover.active
+	w.IsSubstituteReader = s.failover.active
 	s.recordRoleChange(w, now, heartbeatAge, answerAge)
 }
 
@@ -120,7 +120,7 @@
 	switch {
 	case !isReader:
 		w.Record(now, event.ReadingEnded, "", "", "")
-	case w.StandsIn:
+	case w.IsSubstituteReader:
 		detail := fmt.Sprintf("took over: no reader heartbeat for %s, no platform answer at a reader for %s", heartbeatAge.Round(time.Millisecond), answerAge.Round(time.Millisecond))
 		w.Record(now, event.ReadingBegan, "", "", detail)
 	default:
@@ -133,7 +133,7 @@
 func (s *System) sendHeartbeat(w *world.World, now time.Time) {
 	changed := w.HeadsChanged
 	w.HeadsChanged = false
-	if !s.conf.StandIn || !IsReader(w) {
+	if !s.conf.ReaderFailover || !IsReader(w) {
 		return
 	}
 	if now.Before(s.failover.nextHeartbeat) && !changed {
@@ -156,5 +156,5 @@
 			recipients = append(recipients, name)
 		}
 	}
-	w.Out.Heartbeats = append(w.Out.Heartbeats, world.Heartbeat{To: recipients, Datagram: d})
+	w.Outbox.Heartbeats = append(w.Outbox.Heartbeats, world.Heartbeat{To: recipients, Datagram: d})
 }
--- a/internal/system/configsync/failover_test.go
+++ b/internal/system/configsync/failover_test.go
@@ -28,7 +28,7 @@
 	w.Readers = w.ReaderOrder[:1]
 	w.Required = []string{"services/a"}
 	w.Settled = true
-	return &testHost{world: w, system: configsync.New(epoch, configsync.Config{Seed: 1, StandIn: true}), now: epoch}
+	return &testHost{world: w, system: configsync.New(epoch, configsync.Config{Seed: 1, ReaderFailover: true}), now: epoch}
 }
 
 // run ticks the system for d. Before each tick, heartbeat may return a reader's heartbeat.
@@ -36,7 +36,7 @@
 	for end := h.now.Add(d); h.now.Before(end); h.now = h.now.Add(tick) {
 		if heartbeat != nil {
 			if d := heartbeat(); d != nil {
-				h.system.Heartbeat(h.world, h.now, d)
+				h.system.HandleHeartbeat(h.world, h.now, d)
 			}
 		}
 		h.system.Run(h.world, h.now)
@@ -100,19 +100,19 @@
 func TestHeartbeatCarriesRevisions(t *testing.T) {
 	reader := newTestHost("h0")
 	reader.run(time.Second, nil)
-	reader.system.Answered(reader.world, reader.now)
+	reader.system.PlatformAnswered(reader.world, reader.now)
 	configsync.Accept(reader.world, reader.now, "services/a", 7, []byte("services: []\n"))
-	reader.world.Out.Take()
+	reader.world.Outbox.Take()
 	reader.system.Run(reader.world, reader.now)
-	sent := reader.world.Out.Take().Heartbeats
+	sent := reader.world.Outbox.Take().Heartbeats
 	if len(sent) != 1 || len(sent[0].To) != 5 || sent[0].Datagram.Heads[0].Revision != 7 {
 		t.Fatalf("heartbeats %v, want one with revision 7 to five hosts", sent)
 	}
 	other := newTestHost("h3")
 	d := sent[0].Datagram
 	d.From = "h0"
-	other.system.Heartbeat(other.world, other.now, d)
-	fetches := other.world.Out.Take().Fetches
+	other.system.HandleHeartbeat(other.world, other.now, d)
+	fetches := other.world.Outbox.Take().Fetches
 	if len(fetches) != 1 || fetches[0].Key != "services/a" || fetches[0].Peers[0] != "h0:1" {
 		t.Fatalf("fetches %v, want services/a from h0", fetches)
 	}
@@ -147,7 +147,7 @@
 func TestUnansweredReaderSendsHeartbeats(t *testing.T) {
 	reader := newTestHost("h0")
 	reader.system.Run(reader.world, reader.now)
-	sent := reader.world.Out.Heartbeats
+	sent := reader.world.Outbox.Heartbeats
 	if len(sent) != 1 || !sent[0].Datagram.Unanswered {
 		t.Fatalf("heartbeats %v from a reader without an answer, want one marked as unanswered", sent)
 	}
@@ -156,7 +156,7 @@
 	if configsync.IsReader(other.world) {
 		t.Error("a host becomes a reader although it receives heartbeats from a reader waiting for its first answer")
 	}
-	for _, f := range other.world.Out.Fetches {
+	for _, f := range other.world.Outbox.Fetches {
 		if f.Platform {
 			t.Errorf("the host requests %s from the platform", f.Key)
 		}
--- a/internal/system/detection/detection.go
+++ b/internal/system/detection/detection.go
@@ -138,10 +138,10 @@
 		e.lastBad = now
 	}
 	if isSlow || e.score() > 0 {
-		svc.Busy = true
+		svc.DetectionActive = true
 	}
 	if b.State == world.BackendTrial && o.Idempotent {
-		b.Detection.TrialGood++
+		b.Detection.TrialSuccesses++
 	}
 }
 
@@ -151,11 +151,11 @@
 
 func noteFailure(now time.Time, svc *world.Service, e *evidence) {
 	e.lastBad = now
-	svc.Busy = true
+	svc.DetectionActive = true
 }
 
-// Report records the evidence reported by another host.
-func (s *System) Report(w *world.World, now time.Time, report *peerpb.Evidence) {
+// AddReport records the evidence reported by another host.
+func (s *System) AddReport(w *world.World, now time.Time, report *peerpb.Evidence) {
 	svc, ok := w.Services[report.Service]
 	if !ok || report.Host == w.Self.Host {
 		return
@@ -171,7 +171,7 @@
 		if seen.bad()+seen.Slow > 0 {
 			e.lastBad = now
 		}
-		svc.Busy = true
+		svc.DetectionActive = true
 	}
 }
 
@@ -188,7 +188,7 @@
 	s.checkOwnNetwork(w, now)
 	for _, name := range w.ServiceNames() {
 		svc := w.Services[name]
-		if svc.Busy {
+		if svc.DetectionActive {
 			s.evaluateService(w, now, svc)
 		}
 	}
@@ -203,7 +203,7 @@
 		s.evaluateBackend(w, now, svc, b, e, scores)
 		busy = busy || s.needsEvaluation(now, b, e)
 	}
-	svc.Busy = busy
+	svc.DetectionActive = busy
 }
 
 func (s *System) needsEvaluation(now time.Time, b *world.BackendServer, e *evidence) bool {
@@ -234,7 +234,7 @@
 }
 
 func (s *System) send(w *world.World, svc *world.Service, report *peerpb.Evidence) {
-	if len(report.Backends) == 0 || w.Distrust {
+	if len(report.Backends) == 0 || w.NetworkSuspect {
 		return
 	}
 	var others []string
@@ -243,7 +243,7 @@
 			others = append(others, host)
 		}
 	}
-	w.Out.Evidence = append(w.Out.Evidence, world.Evidence{To: others, Evidence: report})
+	w.Outbox.Evidence = append(w.Outbox.Evidence, world.Evidence{To: others, Evidence: report})
 }
 
 // Forget drops the evidence of backend servers that no longer exist.
--- a/internal/system/detection/judge.go
+++ b/internal/system/detection/judge.go
@@ -57,7 +57,7 @@
 		return
 	}
 	s.updatePathFault(w, now, svc, b, e)
-	if !svc.Watches(w.Self.Host) || w.Distrust {
+	if !svc.Watches(w.Self.Host) || w.NetworkSuspect {
 		return
 	}
 	if b.State == world.BackendSuspect {
@@ -135,8 +135,8 @@
 		}
 	}
 	distrust := seen >= distrustMin && float64(failing) >= distrustShare*float64(seen)
-	if distrust && !w.Distrust {
-		w.Record(now, event.HostDistrustsSelf, "", "", fmt.Sprintf("%d of %d backend servers fail from here", failing, seen))
+	if distrust && !w.NetworkSuspect {
+		w.Record(now, event.HostDistrustsItself, "", "", fmt.Sprintf("%d of %d backend servers fail from here", failing, seen))
 	}
-	w.Distrust = distrust
+	w.NetworkSuspect = distrust
 }
--- a/internal/system/detection/vote.go
+++ b/internal/system/detection/vote.go
@@ -21,8 +21,8 @@
 		d.Relapses = 0
 	}
 	d.Voted = true
-	d.RenewAt = now.Add(verdict.RenewEvery)
-	d.ProbesGood = 0
+	d.RenewAt = now.Add(verdict.RenewInterval)
+	d.ConsecutiveGoodProbes = 0
 	d.ProbeAt = now.Add(holdOff(d.Relapses))
 	verdict.Cast(w, now, svc, b)
 	w.Record(now, event.BackendVoted, svc.Config.Name, b.Config.ID, fmt.Sprintf("score %.1f, seen failing by %d hosts, relapses %d", d.Relative, len(e.excluding), d.Relapses))
@@ -40,7 +40,7 @@
 func (s *System) maintainVote(w *world.World, now time.Time, svc *world.Service, b *world.BackendServer) {
 	d := &b.Detection
 	if !now.Before(d.RenewAt) {
-		d.RenewAt = now.Add(verdict.RenewEvery)
+		d.RenewAt = now.Add(verdict.RenewInterval)
 		verdict.Cast(w, now, svc, b)
 	}
 	// A server returns only if it also answers as fast as its peers.
@@ -56,7 +56,7 @@
 		return
 	}
 	b.Detection.ProbeAt = now.Add(interval)
-	w.Out.Probes = append(w.Out.Probes, world.Probe{
+	w.Outbox.Probes = append(w.Outbox.Probes, world.Probe{
 		Service: svc.Config.Name,
 		Backend: b.Config.ID,
 		Address: b.Config.Address,
@@ -76,20 +76,20 @@
 		}
 		return
 	}
-	d.ProbesGood++
-	if d.ProbesGood < ProbesToRecover {
+	d.ConsecutiveGoodProbes++
+	if d.ConsecutiveGoodProbes < ProbesToRecover {
 		return
 	}
 	d.Voted = false
 	d.ReturnedAt = now
 	*e = *newEvidence()
-	verdict.End(w, now, svc, b)
+	verdict.Withdraw(w, now, svc, b)
 	w.Record(now, event.BackendVoteEnded, svc.Config.Name, b.Config.ID, fmt.Sprintf("%d successful probes", ProbesToRecover))
 }
 
 // probeFailed handles a failed probe.
 func (s *System) probeFailed(now time.Time, svc *world.Service, b *world.BackendServer, e *evidence) {
-	b.Detection.ProbesGood = 0
+	b.Detection.ConsecutiveGoodProbes = 0
 	if b.Detection.Voted {
 		return
 	}
--- a/internal/system/rotation/rotation.go
+++ b/internal/system/rotation/rotation.go
@@ -47,7 +47,7 @@
 // Run recomputes the rotation of services that have changed or have time-dependent state.
 func (System) Run(w *world.World, now time.Time) {
 	for _, svc := range w.Services {
-		if svc.Dirty || svc.Busy {
+		if svc.Dirty || svc.DetectionActive {
 			rotate(w, now, svc)
 		}
 	}
@@ -107,7 +107,7 @@
 		p.w.Record(p.now, event.BackendEjected, name, b.Config.ID, fmt.Sprintf("%d votes", tally.Votes))
 	case !ejected && b.State == world.BackendEjected:
 		p.setState(b, world.BackendTrial)
-		b.Detection.TrialGood = 0
+		b.Detection.TrialSuccesses = 0
 		b.Detection.ReturnedAt = p.now
 		p.w.Record(p.now, event.BackendReturned, name, b.Config.ID, "trial, then slow start")
 	case b.State == world.BackendTrial && p.now.Sub(b.Since) >= TrialTime+SlowStart:
@@ -118,7 +118,7 @@
 func (p *plan) setState(b *world.BackendServer, state world.BackendState) {
 	b.State = state
 	b.Since = p.now
-	p.svc.Busy = true
+	p.svc.DetectionActive = true
 }
 
 // admit adds all servers except those that the platform marks as leaving or whose data centre
@@ -250,7 +250,7 @@
 
 func (p *plan) trialRotation(b *world.BackendServer) (weight float64, reason string, idempotentOnly bool) {
 	age := p.now.Sub(b.Since)
-	if b.Detection.TrialGood < TrialRequests && age < TrialTime {
+	if b.Detection.TrialSuccesses < TrialRequests && age < TrialTime {
 		return trialWeight, reasonTrial, true
 	}
 	ramp := float64(age) / float64(TrialTime+SlowStart)
@@ -264,7 +264,7 @@
 			continue
 		}
 		if next.Reason == reasonFloor && b.Rotation.Reason != reasonFloor {
-			p.w.Record(p.now, event.BackendKeptFloor, p.svc.Config.Name, b.Config.ID, fmt.Sprintf("floor %d", p.floor))
+			p.w.Record(p.now, event.BackendKeptForFloor, p.svc.Config.Name, b.Config.ID, fmt.Sprintf("floor %d", p.floor))
 		}
 		b.Rotation = next
 		p.svc.Dirty = true
--- a/internal/system/rotation/rotation_test.go
+++ b/internal/system/rotation/rotation_test.go
@@ -63,7 +63,7 @@
 		if on {
 			verdict.Cast(w, now, svc, b)
 		} else {
-			verdict.End(w, now, svc, b)
+			verdict.Withdraw(w, now, svc, b)
 		}
 	case "drain":
 		r, err := directive.New(&peerpb.Directive{Kind: directive.KindDrain, Target: "s/" + b.Config.ID})
--- a/internal/upstream/liveness.go
+++ b/internal/upstream/liveness.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// Fate is the state of a server whose connection has broken.
-type Fate int
+// Liveness is the state of a server whose connection has broken.
+type Liveness int
 
 const (
 	// LivenessUnknown means that the address did not respond. The network path may
 	// be down.
-	LivenessUnknown Fate = iota
+	LivenessUnknown Liveness = iota
 	// LivenessAlive means that the address accepts connections.
 	LivenessAlive
-	// FateEnded means that the machine refused the connection: nothing listens at
+	// LivenessEnded means that the machine refused the connection: nothing listens at
 	// the address.
-	FateEnded
+	LivenessEnded
 )
 
 var livenessNames = [...]string{"unknown", "alive", "ended"}
 
 // String returns the name used in logs.
-func (l Fate) String() string { return livenessNames[l] }
+func (l Liveness) String() string { return livenessNames[l] }
 
 const (
 	// checkTimeout limits a check. A machine whose server has ended refuses the
@@ -41,9 +41,9 @@
 	maxChecks = 1024
 )
 
-// Fates determines whether servers are still running by connecting to them.
+// LivenessChecker determines whether servers are still running by connecting to them.
 // Concurrent checks of one address share one connection attempt.
-type Fates struct {
+type LivenessChecker struct {
 	dial func(ctx context.Context, address string) error
 
 	mu     sync.Mutex
@@ -53,14 +53,14 @@
 // livenessCheck is a check in progress, or its cached result once done is closed.
 type livenessCheck struct {
 	done    chan struct{}
-	result  Fate
+	result  Liveness
 	expires time.Time
 }
 
-// NewFates returns a checker that opens TCP connections.
-func NewFates() *Fates {
+// NewLivenessChecker returns a checker that opens TCP connections.
+func NewLivenessChecker() *LivenessChecker {
 	dialer := &net.Dialer{Timeout: checkTimeout}
-	return &Fates{
+	return &LivenessChecker{
 		checks: make(map[string]*livenessCheck),
 		dial: func(ctx context.Context, address string) error {
 			conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -72,9 +72,9 @@
 	}
 }
 
-// Of returns the state of the server at address (IP:port), to which a connection has
+// Check returns the state of the server at address (IP:port), to which a connection has
 // just broken. It blocks for one round trip, at most checkTimeout.
-func (c *Fates) Of(address string) Fate {
+func (c *LivenessChecker) Check(address string) Liveness {
 	check, first := c.entry(time.Now(), address)
 	if first {
 		check.result = livenessOf(c.dial(context.Background(), address))
@@ -86,7 +86,7 @@
 
 // entry returns the check of an address. If first is true, the check is new, and
 // its result must be set and its done channel closed.
-func (c *Fates) entry(now time.Time, address string) (entry *livenessCheck, first bool) {
+func (c *LivenessChecker) entry(now time.Time, address string) (entry *livenessCheck, first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if cached, ok := c.checks[address]; ok && now.Before(cached.expires) {
@@ -103,7 +103,7 @@
 }
 
 // evictExpired removes expired results. c.mu must be held.
-func (c *Fates) evictExpired(now time.Time) {
+func (c *LivenessChecker) evictExpired(now time.Time) {
 	for address, cached := range c.checks {
 		if !now.Before(cached.expires) {
 			delete(c.checks, address)
@@ -111,12 +111,12 @@
 	}
 }
 
-func livenessOf(err error) Fate {
+func livenessOf(err error) Liveness {
 	switch {
 	case err == nil:
 		return LivenessAlive
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return FateEnded
+		return LivenessEnded
 	default:
 		return LivenessUnknown
 	}
--- a/internal/upstream/liveness_test.go
+++ b/internal/upstream/liveness_test.go
@@ -23,9 +23,9 @@
 		t.Fatal(err)
 	}
 	ended.Close()
-	checker := NewFates()
-	for address, want := range map[string]Fate{alive.Addr().String(): LivenessAlive, ended.Addr().String(): FateEnded} {
-		if got := checker.Of(address); got != want {
+	checker := NewLivenessChecker()
+	for address, want := range map[string]Liveness{alive.Addr().String(): LivenessAlive, ended.Addr().String(): LivenessEnded} {
+		if got := checker.Check(address); got != want {
 			t.Errorf("liveness of %s: got %s, want %s", address, got, want)
 		}
 	}
@@ -44,7 +44,7 @@
 func TestConcurrentChecksShareOneDial(t *testing.T) {
 	var dials atomic.Int32
 	release := make(chan struct{})
-	checker := NewFates()
+	checker := NewLivenessChecker()
 	checker.dial = func(context.Context, string) error {
 		dials.Add(1)
 		<-release
@@ -52,7 +52,7 @@
 	}
 	var wg sync.WaitGroup
 	for range 20 {
-		wg.Go(func() { checker.Of("10.0.0.1:80") })
+		wg.Go(func() { checker.Check("10.0.0.1:80") })
 	}
 	for dials.Load() == 0 {
 		time.Sleep(time.Millisecond) // until the first dial has started
@@ -65,10 +65,10 @@
 }
 
 func TestCachedChecksAreBounded(t *testing.T) {
-	checker := NewFates()
+	checker := NewLivenessChecker()
 	checker.dial = func(context.Context, string) error { return nil }
 	for i := range 2 * maxChecks {
-		checker.Of(fmt.Sprintf("10.0.0.1:%d", i))
+		checker.Check(fmt.Sprintf("10.0.0.1:%d", i))
 	}
 	if n := len(checker.checks); n > maxChecks {
 		t.Errorf("%d checks are cached, more than maxChecks", n)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -74,10 +74,10 @@
 	}
 }
 
-// Finish drains and closes the body of a response that is not passed on, so that
+// DrainAndClose drains and closes the body of a response that is not passed on, so that
 // the connection can be reused. It does not close the connection itself, which may
 // carry another request as soon as the body has been read to its end.
-func (a *Answer) Finish() {
+func (a *Answer) DrainAndClose() {
 	_, _ = io.CopyN(io.Discard, a.Body, maxDrainBytes) // Close drops the connection if more is left
 	a.Body.Close()
 }
@@ -90,8 +90,8 @@
 type Failure struct {
 	// Written is false only if no byte of the request can have left this host.
 	Written bool
-	// Dialled is false if no connection was established.
-	Dialled bool
+	// Connected is false if no connection was established.
+	Connected bool
 	// Reused is true if the connection had carried an earlier request. The failure
 	// may then concern only the connection, not the server.
 	Reused bool
@@ -174,19 +174,19 @@
 }
 
 func newFailure(ctx context.Context, err error, conn *trackedConn, writesBefore uint64) *Failure {
-	f := &Failure{Dialled: conn != nil}
+	f := &Failure{Connected: conn != nil}
 	f.Written = conn != nil && !conn.sealIfUnwritten(writesBefore)
 	switch {
 	case errors.Is(err, errWriteRejected):
 		f.err = guardError(err)
-	case !f.Written && !f.Dialled && ctx.Err() == nil:
+	case !f.Written && !f.Connected && ctx.Err() == nil:
 		f.err = errs.Wrap(err, errs.KindDialFailed, "could not connect", "check that the server is running and reachable from this host")
 	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
 		f.err = errs.Wrap(err, errs.KindDeadline, "no response before the deadline", "allow more time or query the outcome")
 	case ctx.Err() != nil:
 		f.err = errs.Wrap(err, errs.KindCanceled, "caller went away", "nothing to do")
 	default:
-		f.err = errs.Wrap(err, errs.KindBroken, "connection broke", "query the outcome before repeating a non-idempotent request")
+		f.err = errs.Wrap(err, errs.KindAnswerBroken, "connection broke", "query the outcome before repeating a non-idempotent request")
 	}
 	return f
 }
@@ -216,13 +216,13 @@
 	return body
 }
 
-// Interrupted returns the failure of a request whose processing failed inside this
+// InternalFailure returns the failure of a request whose processing failed inside this
 // host after it may have been sent. A server may have executed it.
-func Interrupted() *Failure {
-	return &Failure{Written: true, Dialled: true, err: errs.New(errs.KindInternal, "internal error while sending the request", "query the outcome before repeating a non-idempotent request; see the host's log")}
+func InternalFailure() *Failure {
+	return &Failure{Written: true, Connected: true, err: errs.New(errs.KindHostFailed, "internal error while sending the request", "query the outcome before repeating a non-idempotent request; see the host's log")}
 }
 
 // NotSent returns the failure of a request that was never passed to a connection.
 func NotSent(err *errs.Error) *Failure {
-	return &Failure{Dialled: true, err: err}
+	return &Failure{Connected: true, err: err}
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -110,7 +110,7 @@
 		t.Fatal(err)
 	}
 	_, failure := upstream.NewTransport(upstream.Config{DialTimeout: upstream.DefaultDialTimeout}).Do(t.Context(), req, nil, 0)
-	if failure == nil || failure.Written || failure.Dialled || errs.KindOf(failure) != errs.KindDialFailed {
+	if failure == nil || failure.Written || failure.Connected || errs.KindOf(failure) != errs.KindDialFailed {
 		t.Fatalf("got %+v, want a dial failure", failure)
 	}
 }
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -19,8 +19,8 @@
 	// long because every renewal costs datagrams on every host, and a live watcher withdraws
 	// its vote explicitly.
 	TTL = 10 * time.Minute
-	// RenewEvery is the interval at which a watcher renews its vote.
-	RenewEvery = TTL / 3
+	// RenewInterval is the interval at which a watcher renews its vote.
+	RenewInterval = TTL / 3
 )
 
 // key returns the register key of a watcher's vote.
@@ -47,8 +47,8 @@
 	})
 }
 
-// End withdraws this host's vote.
-func End(w *world.World, now time.Time, svc *world.Service, b *world.BackendServer) {
+// Withdraw withdraws this host's vote.
+func Withdraw(w *world.World, now time.Time, svc *world.Service, b *world.BackendServer) {
 	writeVote(w, now, svc, &peerpb.Register{
 		Key:     key(svc.Config.Name, b.Config.ID, w.Self.Host),
 		Deleted: true,
@@ -63,9 +63,9 @@
 	for _, hosts := range svc.Owners {
 		owners = append(owners, hosts...)
 	}
-	w.Out.Urgent = append(w.Out.Urgent, world.Urgent{To: owners, Register: r})
+	w.Outbox.Urgent = append(w.Outbox.Urgent, world.Urgent{To: owners, Register: r})
 	svc.Dirty = true
-	svc.Busy = true
+	svc.DetectionActive = true
 }
 
 // Tally summarizes the votes against one backend server.
--- a/internal/world/elapsed.go
+++ b/internal/world/elapsed.go
@@ -9,10 +9,10 @@
 	return max(end.Sub(start), end.Round(0).Sub(start.Round(0)))
 }
 
-// Passed reports whether point has passed according to either clock.
-func Passed(now, point time.Time) bool {
+// HasPassed reports whether point has passed according to either clock.
+func HasPassed(now, point time.Time) bool {
 	return Elapsed(point, now) > 0
 }
 
-// Beginning is a time before all events.
-var Beginning = time.Unix(0, 0)
+// UnixEpoch is a time before all events.
+var UnixEpoch = time.Unix(0, 0)
--- a/internal/world/platform.go
+++ b/internal/world/platform.go
@@ -29,9 +29,9 @@
 	p.lastAnswer = at
 }
 
-// MayHaveLapsed reports whether registrations may be missing because the platform is or was
+// RegistrationsMayHaveExpired reports whether registrations may be missing because the platform is or was
 // recently unavailable. It returns true if no answer has been recorded.
-func (p *PlatformAnswers) MayHaveLapsed(now time.Time) bool {
+func (p *PlatformAnswers) RegistrationsMayHaveExpired(now time.Time) bool {
 	isDown := now.Sub(p.lastAnswer) >= outageAfter
 	recentlyDown := !p.recoveredAt.IsZero() && now.Sub(p.recoveredAt) < recoveryGrace
 	return p.lastAnswer.IsZero() || isDown || recentlyDown
--- a/internal/world/snapshot.go
+++ b/internal/world/snapshot.go
@@ -71,8 +71,8 @@
 	return v.Backends
 }
 
-// Within returns a copy of the view that has only the servers of allowed data centres.
-func (v *ServiceView) Within(allowed func(dataCentre string) bool) *ServiceView {
+// InDataCentres returns a copy of the view that has only the servers of allowed data centres.
+func (v *ServiceView) InDataCentres(allowed func(dataCentre string) bool) *ServiceView {
 	outside := func(b BackendView) bool { return !allowed(b.DataCentre) }
 	restricted := *v
 	restricted.Backends = slices.DeleteFunc(slices.Clone(v.Backends), outside)
@@ -104,10 +104,10 @@
 	// Ready is whether a configuration is in force.
 	Ready   bool
 	Leaving bool
-	// Distrust is set while this host's own network appears to be faulty.
-	Distrust bool
-	Routes   *route.Table
-	Services map[string]*ServiceView
+	// NetworkSuspect is set while this host's own network appears to be faulty.
+	NetworkSuspect bool
+	Routes         *route.Table
+	Services       map[string]*ServiceView
 	// Customers are the customers that may use non-public routes.
 	Customers *customer.Table
 	// LiveHosts is the number of live hosts, including this one.
@@ -129,11 +129,11 @@
 	Sharing *sharing.Fleet
 	// FleetSize is the largest number of hosts seen live at the same time.
 	FleetSize int
-	// Claimants are the hosts over which idempotency keys are distributed, with
+	// ClaimCandidates are the hosts over which idempotency keys are distributed, with
 	// their addresses in ClaimantAddress. They come from the platform's host list,
 	// which does not shrink during a network partition.
-	Claimants       []rendezvous.Node
-	ClaimantAddress map[string]string
+	ClaimCandidates         []rendezvous.Node
+	ClaimCandidateAddresses map[string]string
 }
 
 // Fresh reports whether the view may be trusted for non-idempotent requests. suspended is
@@ -141,12 +141,12 @@
 // FreshUntil is compared by the monotonic clock, which stands still during a suspension.
 func (s *Snapshot) Fresh(now time.Time, suspended time.Duration) bool {
 	suspendedSince := suspended - s.Suspended
-	return !Passed(now, s.FreshUntil) && now.Add(suspendedSince).Sub(s.FreshUntil) <= 0
+	return !HasPassed(now, s.FreshUntil) && now.Add(suspendedSince).Sub(s.FreshUntil) <= 0
 }
 
-// SharedService returns the hash rings of a service's servers, or nil if there is no such
+// ServiceRings returns the hash rings of a service's servers, or nil if there is no such
 // service.
-func (s *Snapshot) SharedService(name string) *sharing.Service {
+func (s *Snapshot) ServiceRings(name string) *sharing.Service {
 	view, ok := s.Services[name]
 	if !ok {
 		return nil
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -83,23 +83,23 @@
 
 // DocumentAnswers holds responses to other hosts by the revision that those hosts hold.
 type DocumentAnswers struct {
-	Revision uint64
-	MadeAt   time.Time
-	ByHeld   map[uint64]*peerpb.DocumentResponse
+	Revision       uint64
+	MadeAt         time.Time
+	ByBaseRevision map[uint64]*peerpb.DocumentResponse
 }
 
-// Lacks reports whether this host needs the given revision: it is newer than the
+// Needs reports whether this host needs the given revision: it is newer than the
 // one held and has not been refused.
-func (d *Document) Lacks(revision uint64) bool {
+func (d *Document) Needs(revision uint64) bool {
 	if d.Incomplete {
 		return revision >= d.Revision
 	}
 	return revision > d.Revision && revision > d.Refused
 }
 
-// Held returns the revision to which this host can apply changes, or 0 if it needs the
+// BaseRevision returns the revision to which this host can apply changes, or 0 if it needs the
 // whole document.
-func (d *Document) Held() uint64 {
+func (d *Document) BaseRevision() uint64 {
 	if d.Incomplete {
 		return 0
 	}
@@ -152,10 +152,10 @@
 	ReturnedAt time.Time
 	// ProbeAt is when the next probe is due; ProbesGood is the number of consecutive
 	// successful probes.
-	ProbeAt    time.Time
-	ProbesGood int
-	// TrialGood is the number of successful requests since the return.
-	TrialGood int
+	ProbeAt               time.Time
+	ConsecutiveGoodProbes int
+	// TrialSuccesses is the number of successful requests since the return.
+	TrialSuccesses int
 }
 
 // BackendServer is one row of the backend server table.
@@ -191,8 +191,8 @@
 	Watchers []string
 	// Latency is a sample of recent times to first byte.
 	Latency LatencySample
-	// Busy is set while failure detection has work to do.
-	Busy bool
+	// DetectionActive is set while failure detection has work to do.
+	DetectionActive bool
 	// Dirty requests that rotation and view be recomputed.
 	Dirty bool
 }
@@ -247,8 +247,8 @@
 	ReaderOrder []string
 	// ActiveReaders is the number of hosts per data centre that watch the platform.
 	ActiveReaders int
-	// StandsIn is set while this host watches the platform as a substitute for a reader.
-	StandsIn bool
+	// IsSubstituteReader is set while this host watches the platform as a substitute for a reader.
+	IsSubstituteReader bool
 	// HeadsChanged requests an immediate heartbeat from a reader.
 	HeadsChanged bool
 
@@ -297,15 +297,15 @@
 	Suspended time.Duration
 	// StartedAt is when this process started.
 	StartedAt time.Time
-	// Distrust is set while this host's own network appears to be faulty.
-	Distrust bool
+	// NetworkSuspect is set while this host's own network appears to be faulty.
+	NetworkSuspect bool
 
 	// QuarantineChanged requests a new view of the quarantined contents.
 	QuarantineChanged bool
 	// RateLimitsChanged requests a new view of the rate limits of servers.
 	RateLimitsChanged bool
 
-	Out Outbox
+	Outbox Outbox
 }
 
 // AbsentBackend is a backend server whose registration is missing.
@@ -372,7 +372,7 @@
 
 // Record queues an event for the timeline.
 func (w *World) Record(now time.Time, n event.Number, service, backend, detail string) {
-	w.Out.Events = append(w.Out.Events, event.Event{
+	w.Outbox.Events = append(w.Outbox.Events, event.Event{
 		Number:  n,
 		Clock:   w.Clock.Now(now),
 		Host:    w.Self.Host,
@@ -390,5 +390,5 @@
 		Host:     w.Self.Host,
 	}
 	w.Registers.Merge(now, r)
-	w.Out.Registers = append(w.Out.Registers, r)
+	w.Outbox.Registers = append(w.Outbox.Registers, r)
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -44,7 +44,7 @@
 mutant "quorum of claims" internal/claims/coordinator.go 's/		return 4$/		return 2/' ./internal/claims
 mutant "young hosts abstain" internal/claims/table.go 's/now.Sub(t.startedAt) < t.horizon/false/' ./internal/claims
 mutant "revision only grows" internal/system/configsync/apply.go 's/if revision < doc.Revision || revision == doc.Revision \&\& !doc.Incomplete {/if revision == doc.Revision {/' ./internal/system/configsync
-mutant "new host asks peers" internal/engine/engine.go 's/\&\& configsync.Current(e.world)/\&\& (e.world.Index != nil || configsync.Current(e.world))/' ./internal/engine
+mutant "new host asks peers" internal/engine/engine.go 's/\&\& configsync.UpToDate(e.world)/\&\& (e.world.Index != nil || configsync.UpToDate(e.world))/' ./internal/engine
 mutant "bad document refused" internal/config/config.go 's/decoder.KnownFields(true)/decoder.KnownFields(false)/' ./e2e -ginkgo.focus "bad document"
 mutant "drain" internal/system/rotation/rotation.go 's/^	p.removeDrained()$//' ./e2e -ginkgo.focus "operator's drain"
 mutant "a server's report at the pick" internal/policy/copies.go 's/ \&\& r.isAvailable(b)$//' ./internal/policy -run ServersThatTake
@@ -71,20 +71,20 @@
 mutant "changes in place of lists" internal/registry/registry.go 's/if revision == 0 || revision < t.completeSince {/if true {/' ./internal/registry -run Bytes
 mutant "evacuation" internal/system/rotation/rotation.go 's/slices.Contains(p.w.Evacuated, b.Config.DataCentre)/false/' ./internal/engine -run Evacuated
 mutant "home regions" internal/region/region.go 's/known \&\& slices.Contains(h.regions, region)/known \&\& region != ""/' ./platform -run HomeRegions
-mutant "homes of route and customer" internal/frontend/customer.go 's/^		req.Homes = req.Homes.And(holder.Homes)$//' ./platform -run HomeRegions
+mutant "homes of route and customer" internal/frontend/customer.go 's/^		req.Homes = req.Homes.Intersect(holder.Homes)$//' ./platform -run HomeRegions
 mutant "cold servers" internal/engine/serviceview.go 's/if svc.Config.ColdPerSecond <= 0 {/if true {/' ./platform -run ColdServer
 mutant "cold again" internal/registry/registry.go 's/ || now.Add(time.Duration(other.Warmup)).Sub(e.coldUntil) > warmupTolerance \&\& other.Warmup > 0//' ./platform -run ColdAgain
-mutant "breadth where requests are enough" internal/policy/breadth.go 's/ \&\& svc.requestShareFor(now, wanted) <= need.maxRequestShare//' ./internal/policy -run CoverageRequires
-mutant "servers that join" internal/policy/breadth.go 's/func (s \*server) isUntried() bool { return .* }/func (s *server) isUntried() bool { return false }/' ./internal/policy -run JoinedServer
+mutant "breadth where requests are enough" internal/policy/coverage.go 's/ \&\& svc.requestShareFor(now, wanted) <= need.maxRequestShare//' ./internal/policy -run CoverageRequires
+mutant "servers that join" internal/policy/coverage.go 's/func (s \*server) isUntried() bool { return .* }/func (s *server) isUntried() bool { return false }/' ./internal/policy -run JoinedServer
 mutant "servers that are met are not new" internal/policy/table.go 's/return !view.JoinedAt.IsZero() \&\& now.Sub(view.JoinedAt) < newServerPeriod/return true/' ./internal/policy -run NewServersAreTrusted
-mutant "requests with little time" internal/policy/patience.go 's/return shortest > 0 \&\& queue/return false \&\& queue/' ./experiment/replay -run LittleTime
+mutant "requests with little time" internal/policy/deadline.go 's/return shortest > 0 \&\& queue/return false \&\& queue/' ./experiment/replay -run LittleTime
 mutant "hosts wait for a reader that lists" internal/system/configsync/configsync.go 's/if s.failover.heardReader \&\& now.Sub(s.failover.lastHeartbeat) <= heartbeatTimeout {/if false {/' ./experiment/loops -run LongList
-mutant "readers are heard before their first answer" internal/system/configsync/failover.go 's/if !s.conf.StandIn || !IsReader(w) {/if !s.conf.StandIn || !IsReader(w) || s.failover.lastOwnAnswer.IsZero() {/' ./internal/system/configsync -run UnansweredReader
+mutant "readers are heard before their first answer" internal/system/configsync/failover.go 's/if !s.conf.ReaderFailover || !IsReader(w) {/if !s.conf.ReaderFailover || !IsReader(w) || s.failover.lastOwnAnswer.IsZero() {/' ./internal/system/configsync -run UnansweredReader
 mutant "sync prefers the local data centre" internal/membership/config.go 's/remoteSyncRatio = 8$/remoteSyncRatio = 1/' ./internal/membership -run SyncPrefersLocalDataCentre
 mutant "bounded overflow" internal/policy/pick.go 's/	overflowSample = 128$/	overflowSample = 100000/' ./internal/policy -run Overflow
 mutant "late reports" internal/policy/report.go 's/if next.isOlderThan(p.counts) {/if false {/' ./internal/policy
-mutant "servers stay in use" internal/policy/breadth.go 's/return unusedServerBonus/return 0/' ./internal/policy
-mutant "a server that closes at once" internal/dispatch/send.go 's/return kind == errs.KindBroken \&\& !failure.Reused/return false/' ./platform -run ClosesAtOnce -count=20
+mutant "servers stay in use" internal/policy/coverage.go 's/return unusedServerBonus/return 0/' ./internal/policy
+mutant "a server that closes at once" internal/dispatch/send.go 's/return kind == errs.KindAnswerBroken \&\& !failure.Reused/return false/' ./platform -run ClosesAtOnce -count=20
 mutant "a send that never left" internal/policy/outcome.go 's/	if done.Unsent {/	if false {/' ./internal/policy -run UnsentRequest
 mutant "a server out of a neighbour's reach" internal/policy/report.go 's/	case unreached > 0:/	case false:/' ./internal/policy -run ConnectionFailureOfPeer
 mutant "errors after work" internal/policy/outcome.go 's/done.FirstByte > fastErrorLimit(p)/false/' ./internal/policy
@@ -106,20 +106,20 @@
 mutant "a lift forgets" internal/quarantine/decide.go 's/^	t.dropLifted(s)$//' ./internal/quarantine -run 'Lift|LateHome'
 mutant "leaving servers are no evidence" internal/dispatch/quarantine.go 's/return x.inRotation(lease.Server) \&\& /return /' ./e2e -ginkgo.focus "after it was drained"
 mutant "a host that stood still is no witness" internal/dispatch/quarantine.go 's/x.d.snapshot().Fresh(time.Now(), boottime.Suspended())/(x.d.snapshot().Fresh(time.Now(), boottime.Suspended()) || true)/' ./e2e -ginkgo.focus "stood still"
-mutant "an end is checked" internal/dispatch/quarantine.go 's/fate == upstream.FateEnded \&\& /(fate == upstream.FateEnded || true) \&\& /' ./e2e -ginkgo.focus "evidence that a request"
+mutant "an end is checked" internal/dispatch/quarantine.go 's/fate == upstream.LivenessEnded \&\& /(fate == upstream.LivenessEnded || true) \&\& /' ./e2e -ginkgo.focus "evidence that a request"
 mutant "path faults leave half" internal/system/rotation/rotation.go 's|minimum := max(p.floor, (len(p.svc.Backends)+1)/2)|minimum := p.floor|' ./internal/system/rotation
 mutant "suspension" internal/engine/engine.go 's/pause := max(world.Elapsed(e.lastTick, now), now.Sub(e.lastTick)+suspendedFor)/pause := world.Elapsed(e.lastTick, now)/' ./internal/engine
 mutant "spent allowance" internal/policy/pick.go 's/return rule.IdempotentFailure + spent\*/return rule.IdempotentFailure + 0*spent*/' ./internal/policy
-mutant "trouble within a second" internal/policy/breadth.go 's/ || svc.hasManyUnserved(now, windowBuckets\/2)//' ./internal/policy
-mutant "new hosts repeat the bootstrap sync" internal/membership/probe.go 's/if l.Live() > bootstrapSyncMaxHosts \&\& /if /' ./internal/membership
+mutant "trouble within a second" internal/policy/coverage.go 's/ || svc.hasManyUnserved(now, windowBuckets\/2)//' ./internal/policy
+mutant "new hosts repeat the bootstrap sync" internal/membership/probe.go 's/if l.LiveCount() > bootstrapSyncMaxHosts \&\& /if /' ./internal/membership
 mutant "missing documents only" internal/system/configsync/configsync.go 's/if w.Document(key).Revision == 0 {/if true {/' ./internal/system/configsync
 mutant "start grace" internal/system/configsync/configsync.go 's/lastHeartbeat: now.Add(startGrace)/lastHeartbeat: now/' ./internal/system/configsync
 mutant "refusal after an owner broke off" internal/dispatch/forward.go 's/if x.written \&\& Outcome/if false \&\& Outcome/' ./internal/dispatch
 mutant "refusal here after an owner broke off" internal/dispatch/dispatch.go 's/refusal.Outcome == OutcomeNotRun \&\& x.written/false/' ./internal/dispatch
 mutant "young hosts spend their own" internal/policy/retries.go 's/if age < rule.Window \&\& /if false \&\& /' ./internal/policy
-mutant "waiting requests are evidence" internal/policy/silence.go 's/	return min(float64(total)\/1e6, maxUnansweredLogOdds).*/	return 0/' ./internal/policy
-mutant "slow services say nothing" internal/policy/silence.go 's/, maxUnansweredLogOdds) \* svc.unansweredWeight(now)/, maxUnansweredLogOdds)/' ./internal/policy
-mutant "evidence of neighbours" internal/policy/silence.go 's/		if now.Sub(peer.at) < peerReportTTL {/		if false {/' ./internal/policy
+mutant "waiting requests are evidence" internal/policy/unanswered.go 's/	return min(float64(total)\/1e6, maxUnansweredLogOdds).*/	return 0/' ./internal/policy
+mutant "slow services say nothing" internal/policy/unanswered.go 's/, maxUnansweredLogOdds) \* svc.unansweredWeight(now)/, maxUnansweredLogOdds)/' ./internal/policy
+mutant "evidence of neighbours" internal/policy/unanswered.go 's/		if now.Sub(peer.at) < peerReportTTL {/		if false {/' ./internal/policy
 mutant "abandoned requests are evidence" internal/policy/outcome.go 's/s.recordUnanswered(now, done.unansweredLogOdds)/_ = done.unansweredLogOdds/' ./internal/policy
 mutant "short deadlines say nothing" internal/policy/outcome.go 's/case done.TimedOut \&\& done.unansweredLogOdds < overdueLogOdds:/case false:/' ./internal/policy
 mutant "copies of reads" internal/policy/copies.go 's/	if !t.has(MechanismCopies) {/	if true {/' ./e2e -ginkgo.focus "by a copy"
@@ -143,7 +143,7 @@
 mutant "refusal before the body" internal/frontend/problem.go 's/^	drainBody(w, r)$//' ./platform -run TestUnknownKeyIsRefusedBefore -timeout 20s
 mutant "rate limits are asked for" internal/dispatch/ratelimit.go 's/case !verdict.OK:/case false:/' ./platform -run AllServersLimited
 mutant "unused token goes back" internal/dispatch/send.go 's/		x.returnToken(token)/		_ = token/' ./platform -run UnusedToken
-mutant "copies spare limited servers" internal/policy/copies.go 's/if r.Beside .*/if false {/' ./internal/policy -run RateLimitedServers
+mutant "copies spare limited servers" internal/policy/copies.go 's/if r.Parallel .*/if false {/' ./internal/policy -run RateLimitedServers
 mutant "limited servers cost more" internal/policy/pick.go 's/if req.isLimited(b) {/if false {/' ./internal/policy -run RateLimitedServers
 mutant "equal shares of small limits" internal/quota/quota.go 's/EqualShares: true, //' ./internal/quota -run Remember
 mutant "no tokens accrued for fallback" internal/quota/request.go 's/if !s.homeUnreachable \&\& !t.rule.AccruesFallback {/if false {/' ./internal/quota -run FallbackDoesNotExceed
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -210,7 +210,7 @@
 func (f *Fleet) WaitReady(ctx context.Context) error {
 	return Until(ctx, "all hosts ready", func() bool {
 		for _, d := range f.Hosts {
-			if !d.Ready() || len(d.Snapshot().Claimants) < len(f.Hosts) || Live(d) < len(f.Hosts) {
+			if !d.Ready() || len(d.Snapshot().ClaimCandidates) < len(f.Hosts) || Live(d) < len(f.Hosts) {
 				return false
 			}
 		}
