--- a/internal/policy/table.go
+++ b/internal/policy/table.go
@@ -113,7 +113,7 @@
 	// staleConnectionAt is when an idle connection to one of the service's servers last broke
 	// under a request, at any host of this data centre.
 	staleConnectionAt time.Time
-	// served and unserved count the requests of this data centre, see breadth.go.
+	// served and unserved count the requests of this data centre, see coverage.go.
 	served, unserved window
 	// sends counts requests to the servers of this host's subset, by all hosts that use them.
 	sends window
