--- a/internal/availability/availability.go
+++ b/internal/availability/availability.go
@@ -40,7 +40,7 @@
 	// RestSince and RestUntil are the bounds of the last rest it asked for, zero for none.
 	RestSince time.Time
 	RestUntil time.Time
-	// RateLimitedSince and NoRoomUntil are the bounds of the time in which its rate limit is used
+	// RateLimitedSince and RateLimitedUntil are the bounds of the time in which its rate limit is used
 	// up, as far as this host knows, zero for none.
 	RateLimitedSince time.Time
 	RateLimitedUntil time.Time
@@ -186,7 +186,7 @@
 	return change
 }
 
-// MarkRateLimited marks a server as NoRoom for the given time, because its rate limit is used up.
+// MarkRateLimited marks a server as RateLimited for the given time, because its rate limit is used up.
 func (t *Table) MarkRateLimited(server process.Server, length time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/availability/availability_test.go
+++ b/internal/availability/availability_test.go
@@ -132,7 +132,7 @@
 	expect(t, table, process.Server{Service: "shop", ID: "0"}, availability.Available)
 }
 
-// If none of a service's servers takes requests, AbsenceOf returns when the first one will.
+// If none of a service's servers takes requests, UnavailabilityOf returns when the first one will.
 func TestAbsence(t *testing.T) {
 	table, c := newTable()
 	views := []world.BackendView{{ID: "i1"}, {ID: "i2"}, {ID: "i3"}}
@@ -189,7 +189,7 @@
 }
 
 // A server whose rate limit is used up takes no requests for the given time. If all servers of a
-// service rest or have used up their limits, AbsenceOf returns when the first one takes requests.
+// service rest or have used up their limits, UnavailabilityOf returns when the first one takes requests.
 func TestUsedUpRateLimit(t *testing.T) {
 	table, c := newTable()
 	views := []world.BackendView{{ID: "i1"}, {ID: "i2"}}
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -14,9 +14,9 @@
 
 // Table wraps the policy.Table of one host. It is safe for concurrent use.
 type Table struct {
-	clock   func() time.Time
-	life    uint64
-	changed chan struct{}
+	clock       func() time.Time
+	incarnation uint64
+	changed     chan struct{}
 
 	mu    sync.Mutex
 	table *policy.Table
@@ -29,16 +29,16 @@
 		conf.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
 	return &Table{
-		clock:   clock,
-		life:    rand.Uint64(),
-		changed: make(chan struct{}, 1),
-		table:   policy.NewTable(clock(), conf),
+		clock:       clock,
+		incarnation: rand.Uint64(),
+		changed:     make(chan struct{}, 1),
+		table:       policy.NewTable(clock(), conf),
 	}
 }
 
 // Incarnation returns a random ID that distinguishes this run of the host from earlier and
 // later ones.
-func (t *Table) Incarnation() uint64 { return t.life }
+func (t *Table) Incarnation() uint64 { return t.incarnation }
 
 // Changed returns a channel that receives after the table has changes to report to
 // other hosts. Signals that are not yet received are merged into one.
@@ -81,17 +81,17 @@
 	return &Lease{Placement: placement, table: t}, nil
 }
 
-// Review reports whether a copy of a request that is waiting for a server should be
-// sent now. If not, after is the time until the next Review, 0 for none.
-func (t *Table) Review(view *world.ServiceView, req policy.Request, lease *Lease) (copyNow bool, after time.Duration) {
+// ReviewCopy reports whether a copy of a request that is waiting for a server should be
+// sent now. If not, after is the time until the next ReviewCopy, 0 for none.
+func (t *Table) ReviewCopy(view *world.ServiceView, req policy.Request, lease *Lease) (copyNow bool, after time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.table.ReviewCopy(t.clock(), view, req, lease.Placement)
 }
 
-// Trial places a copy of an idempotent request at a server that is presumed to be
+// PlaceTrial places a copy of an idempotent request at a server that is presumed to be
 // failing, if a trial is due.
-func (t *Table) Trial(view *world.ServiceView, req policy.Request) (*Lease, bool) {
+func (t *Table) PlaceTrial(view *world.ServiceView, req policy.Request) (*Lease, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	placement, ok := t.table.PlaceTrial(t.clock(), view, req)
@@ -133,9 +133,9 @@
 	return t.table.AllowRetry(t.clock(), service, fleet)
 }
 
-// Changes returns the rows that are due to be reported: near to the hosts of this data
+// Changes returns the rows that are due to be reported: local to the hosts of this data
 // centre, failing to all other hosts.
-func (t *Table) Changes() (near, failing []*peerpb.BackendLoad) {
+func (t *Table) Changes() (local, failures []*peerpb.BackendLoad) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.table.Changes(t.clock())
@@ -150,13 +150,13 @@
 	}
 }
 
-// Report applies the rows that another host reported. life identifies the run of that
-// host. near is set if that host reports all its requests to this one; its in-flight
+// Report applies the rows that another host reported. incarnation identifies the run of that
+// host. isPeer is set if that host reports all its requests to this one; its in-flight
 // counts are used only then.
-func (t *Table) Report(host string, life uint64, loads []*peerpb.BackendLoad, near bool) {
+func (t *Table) Report(host string, incarnation uint64, loads []*peerpb.BackendLoad, isPeer bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.table.Report(t.clock(), host, life, loads, near)
+	t.table.Report(t.clock(), host, incarnation, loads, isPeer)
 }
 
 // Stats returns the statistics of each service.
--- a/internal/claims/coordinator.go
+++ b/internal/claims/coordinator.go
@@ -95,7 +95,7 @@
 }
 
 // Claim claims a key for a request. It returns a typed error if another request
-// holds the key (KindClaimHeld) or no quorum granted it (KindClaimRefused). In both
+// holds the key (KindClaimHeld) or no quorum granted it (KindClaimUnavailable). In both
 // cases it releases any votes that the request has.
 //
 // Concurrent requests may split the vote. The one with the lowest ID then keeps its
--- a/internal/customer/digest.go
+++ b/internal/customer/digest.go
@@ -33,7 +33,7 @@
 	return d
 }
 
-// ParseDigest parses the result of String.
+// ParseDigest parses a digest in the form that Digest.String returns.
 func ParseDigest(text string) (Digest, error) {
 	raw, err := base64.RawURLEncoding.Strict().DecodeString(text)
 	if err != nil || len(raw) != digestBytes {
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -63,7 +63,7 @@
 	x := h.x
 	x.refreshView()
 	request := x.copyPolicyRequest(first)
-	copyNow, after := x.d.balance.Review(x.view, request, first.balanced)
+	copyNow, after := x.d.balance.ReviewCopy(x.view, request, first.balanced)
 	switch {
 	case copyNow:
 		h.sendCopy(ctx, request)
--- a/internal/dispatch/trial.go
+++ b/internal/dispatch/trial.go
@@ -14,7 +14,7 @@
 // policy.Trial.
 func (h *hedge) sendTrial(ctx context.Context, first *serverLease) {
 	x := h.x
-	lease, due := x.d.balance.Trial(x.view, x.copyPolicyRequest(first))
+	lease, due := x.d.balance.PlaceTrial(x.view, x.copyPolicyRequest(first))
 	if !due {
 		return
 	}
--- a/internal/policy/outcome.go
+++ b/internal/policy/outcome.go
@@ -50,8 +50,8 @@
 	Load *protocol.Load
 	// Bytes is the size of the body of a good answer.
 	Bytes int64
-	// Reused is set if a failed request was sent on a connection that had been used before. Took
-	// is the time until the request failed or was abandoned.
+	// Reused is set if a failed request was sent on a connection that had been used before.
+	// Elapsed is the time until the request failed or was abandoned.
 	Reused  bool
 	Elapsed time.Duration
 	// Unsent is set if no byte of the request reached the server.
--- a/internal/policy/pick.go
+++ b/internal/policy/pick.go
@@ -83,7 +83,7 @@
 	DataCentre string
 	// Objective is the latency objective, 0 for none.
 	Objective time.Duration
-	// FirstAttempt is set for the first pick for a request, Repeat once a server has received the
+	// FirstAttempt is set for the first pick for a request, Retry once a server has received the
 	// request. Neither is set for a pick after a failed connection.
 	FirstAttempt bool
 	Retry        bool
@@ -102,8 +102,8 @@
 	Availability availability.TableView
 	// RateLimits holds the rate limits that servers announce for all hosts together.
 	RateLimits *ratelimit.View
-	// Parallel is set for a send in parallel to one that is in progress; FirstBelief is the failure
-	// belief of the server that has that first send.
+	// Parallel is set for a send in parallel to one that is in progress; FirstServerBelief is the
+	// failure belief of the server that has that first send.
 	Parallel          bool
 	FirstServerBelief float64
 	// ReceivedAt is when this host received the request, Deadline when the caller stops waiting.
--- a/internal/policy/table.go
+++ b/internal/policy/table.go
@@ -21,7 +21,7 @@
 
 const (
 	// peerReportTTL is how long another host's in-flight count is used without an update. Hosts
-	// send their counts every RefreshEvery.
+	// send their counts every RefreshInterval.
 	peerReportTTL = 1600 * time.Millisecond
 	// reportedLoadHalfLife is the half-life of a load reported by a server. A request takes
 	// about 250 ms.
--- a/internal/policy/unused.go
+++ b/internal/policy/unused.go
@@ -30,7 +30,7 @@
 	InUse   bool
 	// Idle is how long no host of the data centre has sent the server a request.
 	Idle time.Duration
-	// Why, Belief, Troubled and Limited are only set for a server that went out of use: the
+	// Why, Belief, Degraded and Limited are only set for a server that went out of use: the
 	// probability that it is failing, and whether many requests of the service are unserved or
 	// refused beyond their customers' limits.
 	Why      UnusedReason
--- a/internal/quota/row.go
+++ b/internal/quota/row.go
@@ -12,14 +12,15 @@
 type CustomerStatus struct {
 	Customer string
 	Limit    customer.Limit
-	// Rate is the rate of requests that this host lets through, in requests a second, and Part
+	// Rate is the rate of requests that this host lets through, in requests a second, and Share
 	// its share of the limit as granted by the home, 0 if unknown.
 	Rate  float64
 	Share float64
 	// Allowed and Refused count requests at this host since its start.
 	Allowed, Refused uint64
 	Home             string
-	// SinceAnswer is the time since the home last answered, and Unheard whether it fails to answer.
+	// SinceAnswer is the time since the home last answered, and HomeUnreachable
+	// whether it fails to answer.
 	SinceAnswer     time.Duration
 	HomeUnreachable bool
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -93,7 +93,7 @@
 	return true
 }
 
-// trackingDial returns a dial function whose connections are trackedConns.
+// trackingDial returns a dial function whose connections are of type trackedConn.
 func trackingDial(dialer *net.Dialer) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dialer.DialContext(ctx, network, address)
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,5 +1,6 @@
 // Package verdict stores the votes of watchers against backend servers in replicated
-// registers and counts them.
+// registers and counts them. The watchers of a service are the hosts that observe its
+// backend servers; a server is ejected if a majority of them votes against it.
 package verdict
 
 import (
