--- a/internal/availability/availability.go
+++ b/internal/availability/availability.go
@@ -40,8 +40,8 @@
 	// RestSince and RestUntil are the bounds of the last rest it asked for, zero for none.
 	RestSince time.Time
 	RestUntil time.Time
-	// RateLimitedSince and RateLimitedUntil are the bounds of the time in which its rate limit is used
-	// up, as far as this host knows, zero for none.
+	// RateLimitedSince and RateLimitedUntil are the bounds of the time in which its rate limit
+	// is used up, as far as this host knows, zero for none.
 	RateLimitedSince time.Time
 	RateLimitedUntil time.Time
 	// ReportedAt is the time of its last report of leaving or rest, and CheckedAt when it was last
@@ -50,7 +50,7 @@
 	CheckedAt  time.Time
 }
 
-// Reason is why a server gets no requests.
+// Reason is why a server gets no requests, or Available.
 type Reason int
 
 // Reasons.
@@ -74,7 +74,7 @@
 // String returns the name of the reason in logs.
 func (r Reason) String() string { return reasonNames[r] }
 
-// TakesRequests reports whether a server may be sent any requests.
+// TakesRequests reports whether a server may be sent any requests: it is Available or Returning.
 func (r Reason) TakesRequests() bool { return r == Available || r == Returning }
 
 // ReasonAt returns why the server gets no requests at the given time.
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -61,7 +61,7 @@
 	// Check returns the quarantine for which a request must be refused now, or nil if it may
 	// be sent. onTrial is set if it may be sent only once, to one server.
 	Check(subject quarantine.Subject) (refused *quarantine.Quarantine, onTrial bool)
-	// RecordCrash records that a server ended while it was processing a request.
+	// RecordCrash records that a server crashed while it was processing a request.
 	RecordCrash(subject quarantine.Subject, service, server string)
 	// RecordAnswer records that a server has answered a request completely.
 	RecordAnswer(subject quarantine.Subject)
@@ -120,23 +120,23 @@
 }
 
 // New returns a Dispatcher.
-func New(conf Config, parts Dependencies) *Dispatcher {
+func New(conf Config, deps Dependencies) *Dispatcher {
 	return &Dispatcher{
 		conf:            conf,
-		snapshot:        parts.Snapshot,
-		backends:        parts.Backends,
+		snapshot:        deps.Snapshot,
+		backends:        deps.Backends,
 		fates:           upstream.NewLivenessChecker(),
-		owners:          parts.Owners,
-		claims:          parts.Claims,
-		observer:        parts.Observer,
-		events:          parts.Events,
-		metrics:         parts.Metrics,
-		balance:         parts.Balance,
-		quarantine:      parts.Quarantine,
+		owners:          deps.Owners,
+		claims:          deps.Claims,
+		observer:        deps.Observer,
+		events:          deps.Events,
+		metrics:         deps.Metrics,
+		balance:         deps.Balance,
+		quarantine:      deps.Quarantine,
 		proto:           conf.Protocol,
-		availability:    parts.Availability,
-		rateLimits:      parts.RateLimits,
-		memory:          parts.Memory,
+		availability:    deps.Availability,
+		rateLimits:      deps.RateLimits,
+		memory:          deps.Memory,
 		stateEventLimit: logging.NewLineLimiter(stateEventsPerSecond),
 		requestLog:      requestLog{limit: logging.NewLineLimiter(requestLinesPerSecond)},
 		services:        make(map[string]*serviceState),
--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -55,7 +55,7 @@
 	// inFlight counts the servers that have the request and have not responded yet.
 	inFlight int
 	// quarantineTrial is set for a suspected request that may be sent to one server only, to
-	// see whether it ends that server.
+	// see whether it crashes that server.
 	quarantineTrial bool
 }
 
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// copyPolicyRequest is the policy request for a send to another server while the first one
+// copyPolicyRequest returns the policy request for a send to another server while the first one
 // still has the request.
 func (x *exchange) copyPolicyRequest(first *serverLease) policy.Request {
 	request := x.policyRequest()
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -67,7 +67,7 @@
 	return values
 }
 
-// hostname is the name in a Host header without the port, which may differ between hosts.
+// hostname returns the name in a Host header without the port, which may differ between hosts.
 func hostname(host string) string { return (&url.URL{Host: host}).Hostname() }
 
 // contentLabel is the log label of the content, empty while the body has not been read.
@@ -78,9 +78,9 @@
 	return r.subject().Content.Short()
 }
 
-// checkQuarantine returns a refusal if the request is quarantined because it ends the servers
+// checkQuarantine returns a refusal if the request is quarantined because it crashes the servers
 // that run it, else nil. It matches by content because the request ID is new for each
-// repetition: matched by ID alone, one read ended 22 servers.
+// repetition: matched by ID alone, one read crashed 22 servers.
 func (x *exchange) checkQuarantine() *Refusal {
 	if !x.d.quarantine.Active() {
 		return nil
@@ -95,7 +95,7 @@
 	return refuseNotRun(err, active.Until.Sub(now))
 }
 
-// quarantineMessage names the servers that ended and the hosts that reported it.
+// quarantineMessage names the servers that crashed and the hosts that reported it.
 func quarantineMessage(q *quarantine.Quarantine, now time.Time) string {
 	var servers []string
 	for _, e := range q.Ends {
@@ -108,8 +108,8 @@
 	return fmt.Sprintf("%d servers ended under %s: %s", len(q.Ends), what, strings.Join(servers, ", "))
 }
 
-// recordFate finds out what became of a server whose connection broke during the request, and
-// reports the server if it has ended.
+// recordFate checks whether a server whose connection broke during the request is still running,
+// and reports a crash if it is not.
 func (x *exchange) recordFate(lease *serverLease) { lease.attempt.fate = x.fateOf(lease).String() }
 
 func (x *exchange) fateOf(lease *serverLease) upstream.Liveness {
@@ -120,8 +120,8 @@
 	return fate
 }
 
-// isEvidence reports whether the request may be the cause of a server's end. A leaving server
-// ends by itself, and a host that was paused sees the broken connection long after the fact.
+// isEvidence reports whether the request may be the cause of a crash. A leaving server
+// terminates by itself, and a host that was paused sees the broken connection long after the fact.
 func (x *exchange) isEvidence(lease *serverLease) bool {
 	if reason, _ := x.d.availability.Of(x.serverOf(lease)); reason == availability.Leaving {
 		return false
@@ -133,8 +133,8 @@
 // while no content is suspected.
 const maxServedBodyBytes = 8 << 10
 
-// recordServed clears the request of suspicion: a request that ends servers never gets a
-// complete response.
+// recordServed clears the request of suspicion: a request that crashes servers never gets
+// a complete response.
 func (x *exchange) recordServed(status int) {
 	if status >= http.StatusInternalServerError {
 		return
--- a/internal/dispatch/trial.go
+++ b/internal/dispatch/trial.go
@@ -10,8 +10,8 @@
 	"github.com/pearshelf/pearshelf/internal/policy"
 )
 
-// sendTrial sends a copy of the request to a suspect server if a trial is due; see
-// policy.Trial.
+// sendTrial sends a copy of the request to a server believed to be failing if a trial is due;
+// see policy.Table.PlaceTrial.
 func (h *hedge) sendTrial(ctx context.Context, first *serverLease) {
 	x := h.x
 	lease, due := x.d.balance.PlaceTrial(x.view, x.copyPolicyRequest(first))
--- a/internal/policy/copies.go
+++ b/internal/policy/copies.go
@@ -26,8 +26,8 @@
 	copyAllowanceCost = 0.3
 )
 
-// ReviewCopy reports whether a copy of a request that waits on a server should be sent now and, if not,
-// when to call ReviewCopy again; 0 means never. req.Exclude lists the servers that have received the
+// ReviewCopy reports whether a copy of a request that waits on a server should be sent now and, if
+// not, when to call it again; 0 means never. req.Exclude lists the servers that have received the
 // request, including that of p.
 func (t *Table) ReviewCopy(now time.Time, view *world.ServiceView, req Request, p *Placement) (copyNow bool, after time.Duration) {
 	if !t.has(MechanismCopies) {
--- a/internal/policy/stats.go
+++ b/internal/policy/stats.go
@@ -15,7 +15,7 @@
 	Retries int
 }
 
-// Stats returns an entry per service.
+// Stats returns the statistics of each service.
 func (t *Table) Stats(now time.Time) []ServiceStats {
 	rows := make(map[string]*ServiceStats, len(t.services))
 	for name, svc := range t.services {
--- a/internal/policy/table.go
+++ b/internal/policy/table.go
@@ -1,9 +1,9 @@
 // Package policy implements request routing: it selects the backend server for a request, decides
 // whether the request is retried, and when it is refused. Every host makes these decisions on its
-// own. For each server a host tracks the probability that the server is failing, the requests in
-// flight from this host and from the other hosts of the data centre, and the server's speed. Hosts
-// exchange their observations (see Changes and Report), so that each knows nearly as much as a
-// single host that handled all requests.
+// own. For each server a host tracks the probability that the server is failing (its belief), the
+// requests in flight from this host and from the other hosts of the data centre, and the server's
+// speed. Hosts exchange their observations (see Changes and Report), so that each knows nearly as
+// much as a single host that handled all requests.
 //
 // The package uses no clock, lock, socket or unseeded random number: every call is given the time,
 // and the same sequence of calls yields the same decisions. Package balance adds the lock and the
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -15,10 +15,11 @@
 // answers: a complete answer clears a content, because a request that crashes servers never
 // gets one. Without this rule a popular read would be refused as soon as three servers crash
 // for other reasons. Each host remembers for some seconds which contents it has passed on
-// answers to, because only hosts that have seen a crash report answers to the homes. A hold
-// expires by itself. After that, one host at a time may send the content once, as a trial that
-// its first home grants. If a host remembers an answer from before the crashes, a trial is
-// granted at once.
+// answers to, because only hosts that have seen a crash report answers to the homes.
+//
+// A quarantine begins with a hold, the time in which every request with the content is refused.
+// After the hold, one host at a time may send the content once, as a trial that its first home
+// grants. If a host remembers an answer from before the crashes, a trial is granted at once.
 //
 // The package does no I/O and starts no goroutines or timers: the current time is a parameter,
 // and messages and decisions are returned to the package's user.
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -34,7 +34,7 @@
 	lateSends, earlySends int
 }
 
-// gracePeriod is the required bound (StableWindowS).
+// gracePeriod is the time within which all hosts must refuse the request after the third crash.
 const gracePeriod = 3 * time.Second
 
 // inFlightRequest is a request that is being sent or is running at a server.
