--- a/internal/availability/availability.go
+++ b/internal/availability/availability.go
@@ -307,7 +307,7 @@
 // Empty reports whether the table is empty.
 func (m TableView) Empty() bool { return len(m.view) == 0 }
 
-// Of returns why a server gets no requests at this moment, and its state.
+// Of returns why a server gets no requests at the time of the snapshot, and its state.
 func (m TableView) Of(server process.Server) (Reason, State) {
 	if len(m.view) == 0 {
 		return Available, State{}
@@ -345,7 +345,7 @@
 	return absence, len(servers) > 0
 }
 
-// All returns the servers that get no requests at this moment, in unspecified order.
+// All returns the servers that get no requests at the time of the snapshot, in unspecified order.
 func (m TableView) All() []State {
 	var all []State
 	for _, s := range m.view {
@@ -356,5 +356,5 @@
 	return all
 }
 
-// Time returns the time of the moment by the table's clock, zero if the table is empty.
+// Time returns the time of the snapshot by the table's clock, zero if the table is empty.
 func (m TableView) Time() time.Time { return m.now }
--- a/internal/dispatch/serverstate.go
+++ b/internal/dispatch/serverstate.go
@@ -112,9 +112,9 @@
 // knownState returns the reason, known from earlier responses, why the server should not get
 // requests now. It is formatted for logs and empty for none.
 func (x *exchange) knownState(lease *serverLease) string {
-	moment := x.d.availability.Now()
-	reason, state := moment.Of(x.serverOf(lease))
-	return formatKnownState(reason, state, moment.Time())
+	snapshot := x.d.availability.Now()
+	reason, state := snapshot.Of(x.serverOf(lease))
+	return formatKnownState(reason, state, snapshot.Time())
 }
 
 // formatKnownState formats a reason and how long ago the server reported it. The age is
@@ -180,19 +180,19 @@
 // rest, or have no room in their rate limits, else nil. Retry-After is when the first of them
 // accepts requests again.
 func (x *exchange) refuseIfNoneAvailable() *Refusal {
-	absence, none := x.d.availability.Now().UnavailabilityOf(x.req.Service, x.view.Backends)
+	unavailability, none := x.d.availability.Now().UnavailabilityOf(x.req.Service, x.view.Backends)
 	switch {
 	case !none:
 		return nil
-	case absence.Reason == availability.Leaving:
+	case unavailability.Reason == availability.Leaving:
 		return refuseNotRun(errs.New(errs.KindServerLeaving, "all backend servers of "+x.req.Service+" report that they are leaving", "repeat the request after the time in Retry-After; start other servers"), defaultRetryAfter)
-	case absence.Reason == availability.RateLimited:
-		after := max(x.d.rateLimits.ReserveRetry(x.limitedServers()), absence.Remaining)
+	case unavailability.Reason == availability.RateLimited:
+		after := max(x.d.rateLimits.ReserveRetry(x.limitedServers()), unavailability.Remaining)
 		text := "all backend servers of " + x.req.Service + " have no room in the rate limits that they report, for this request again in " + after.Round(time.Millisecond).String()
 		return refuseNotRun(errs.New(errs.KindServerRateLimit, text, "repeat the request after the time in Retry-After; add capacity"), after)
 	default:
-		left := absence.Remaining.Round(time.Millisecond).String()
-		return refuseNotRun(errs.New(errs.KindServerResting, "all backend servers of "+x.req.Service+" asked for rest, the first for another "+left, "repeat the request after the time in Retry-After; add capacity"), absence.Remaining)
+		left := unavailability.Remaining.Round(time.Millisecond).String()
+		return refuseNotRun(errs.New(errs.KindServerResting, "all backend servers of "+x.req.Service+" asked for rest, the first for another "+left, "repeat the request after the time in Retry-After; add capacity"), unavailability.Remaining)
 	}
 }
 
