--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -17,9 +17,10 @@
 // for other reasons. Each host remembers for some seconds which contents it has passed on
 // answers to, because only hosts that have seen a crash report answers to the homes.
 //
-// A quarantine begins with a hold, the time in which every request with the content is refused.
-// After the hold, one host at a time may send the content once, as a trial that its first home
-// grants. If a host remembers an answer from before the crashes, a trial is granted at once.
+// A quarantine begins with a hold, during which requests with the content are refused. After the
+// hold, one host at a time may send the content once, as a trial. The first of the content's
+// homes, in the order of the rendezvous hash, grants it. If a host remembers an answer from before
+// the crashes, a trial is granted at once.
 //
 // The package does no I/O and starts no goroutines or timers: the current time is a parameter,
 // and messages and decisions are returned to the package's user.
