--- a/internal/availability/availability.go
+++ b/internal/availability/availability.go
@@ -40,8 +40,8 @@
 	// RestSince and RestUntil are the bounds of the last rest it asked for, zero for none.
 	RestSince time.Time
 	RestUntil time.Time
-	// RateLimitedSince and NoRoomUntil are the bounds of the time in which its rate limit is used
-	// up, as far as this host knows, zero for none.
+	// RateLimitedSince and RateLimitedUntil are the bounds of the time in which its rate limit
+	// is used up, as far as this host knows, zero for none.
 	RateLimitedSince time.Time
 	RateLimitedUntil time.Time
 	// ReportedAt is the time of its last report of leaving or rest, and CheckedAt when it was last
@@ -50,7 +50,7 @@
 	CheckedAt  time.Time
 }
 
-// Reason is why a server gets no requests.
+// Reason is why a server gets no requests, or Available.
 type Reason int
 
 // Reasons.
@@ -74,7 +74,7 @@
 // String returns the name of the reason in logs.
 func (r Reason) String() string { return reasonNames[r] }
 
-// TakesRequests reports whether a server may be sent any requests.
+// TakesRequests reports whether a server may be sent any requests: it is Available or Returning.
 func (r Reason) TakesRequests() bool { return r == Available || r == Returning }
 
 // ReasonAt returns why the server gets no requests at the given time.
@@ -186,7 +186,7 @@
 	return change
 }
 
-// MarkRateLimited marks a server as NoRoom for the given time, because its rate limit is used up.
+// MarkRateLimited marks a server as RateLimited for the given time, because its rate limit is used up.
 func (t *Table) MarkRateLimited(server process.Server, length time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -307,7 +307,7 @@
 // Empty reports whether the table is empty.
 func (m TableView) Empty() bool { return len(m.view) == 0 }
 
-// Of returns why a server gets no requests at this moment, and its state.
+// Of returns why a server gets no requests at the time of the snapshot, and its state.
 func (m TableView) Of(server process.Server) (Reason, State) {
 	if len(m.view) == 0 {
 		return Available, State{}
@@ -345,7 +345,7 @@
 	return absence, len(servers) > 0
 }
 
-// All returns the servers that get no requests at this moment, in unspecified order.
+// All returns the servers that get no requests at the time of the snapshot, in unspecified order.
 func (m TableView) All() []State {
 	var all []State
 	for _, s := range m.view {
@@ -356,5 +356,5 @@
 	return all
 }
 
-// Time returns the time of the moment by the table's clock, zero if the table is empty.
+// Time returns the time of the snapshot by the table's clock, zero if the table is empty.
 func (m TableView) Time() time.Time { return m.now }
