--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -40,8 +40,10 @@
 
 // Hooks let tests block a host at defined points of its execution.
 type Hooks struct {
+	// BeforeWrite is called before a request is sent to a backend server; see dispatch.Config.
 	BeforeWrite func(*dispatch.Request)
-	BeforeTick  func()
+	// BeforeTick is called before each scheduled tick of the control loop.
+	BeforeTick func()
 }
 
 // Adapter connects a host to a platform other than the built-in one.
--- a/internal/explain/unused.go
+++ b/internal/explain/unused.go
@@ -31,10 +31,10 @@
 // UnusedView is why one host sent no requests to a server that was out of use.
 type UnusedView struct {
 	Host     string
-	Reason   string // the policy's reason, or what the server had reported
-	Belief   float64
-	Degraded bool // many requests of the service were unserved
-	Limited  bool // many were refused beyond their customers' limits
+	Reason   string  // the policy's reason, or what the server had reported
+	Belief   float64 // the probability, as this host estimated it, that the server was failing
+	Degraded bool    // many requests of the service were unserved
+	Limited  bool    // many were refused beyond their customers' limits
 }
 
 // Unused lists the periods in which servers were out of use.
--- a/internal/logging/limit.go
+++ b/internal/logging/limit.go
@@ -14,7 +14,7 @@
 	suppressed atomic.Int64
 }
 
-// NewLineLimiter returns a Limit that allows perSecond lines in each second.
+// NewLineLimiter returns a limiter that allows perSecond lines in each second.
 func NewLineLimiter(perSecond int64) *LineLimiter { return &LineLimiter{perSecond: perSecond} }
 
 // Allow reports whether a line may be written at now, and counts it.
--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -30,10 +30,11 @@
 }
 
 // TryAcquire reserves n bytes that must be held, and reports whether there is room. Reserved bytes must
-// be released with Return.
+// be released with Release.
 func (b *Budget) TryAcquire(n int64) bool { return b.tryAcquire(n, b.limit) }
 
-// TryAcquireOptional is Take for bytes that need not be held. It leaves room for those that must.
+// TryAcquireOptional is like TryAcquire, but for bytes that need not be held. It leaves room for
+// those that must.
 func (b *Budget) TryAcquireOptional(n int64) bool {
 	return b.tryAcquire(n, int64(optionalFraction*float64(b.limit)))
 }
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -35,8 +35,9 @@
 type Protocol struct {
 	// RequestID is the header that identifies a request to callers and backend servers.
 	RequestID string
-	// KeepCallerRequestID reports whether the caller's own request ID is kept. If not,
-	// the entry host assigns one, because callers may reuse theirs.
+	// KeepCallerRequestID reports whether the caller's own request ID is kept. If not, the
+	// entry host, which received the request from the caller, assigns one, because callers
+	// may reuse theirs.
 	KeepCallerRequestID bool
 	// Sessions reports whether the entry host assigns a session to requests without one.
 	Sessions bool
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -53,7 +53,8 @@
 	Name string `parser:"@Word"`
 }
 
-// Set changes the floor of a service. Expect is used as in Target.
+// Set changes the floor of a service, which is the minimum number of backend servers kept in
+// rotation. Expect is used as in Target.
 type Set struct {
 	Service string `parser:"@Word"`
 	Floor   int    `parser:"'floor' @Word"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -144,8 +144,8 @@
 	// GossipInterval is the interval of gossip datagrams. Default: 100ms.
 	GossipInterval config.Duration `yaml:"gossip_interval"`
 	// ClaimHorizon is the retention time of a completed idempotency key. A host
-	// that has been running for less than this abstains from claims. Default:
-	// 30s.
+	// that has been running for less than this abstains from voting on claims of
+	// keys; see package claims. Default: 30s.
 	ClaimHorizon config.Duration `yaml:"claim_horizon"`
 	// ClaimTimeout limits the duration of one claim. Default: 300ms.
 	ClaimTimeout config.Duration `yaml:"claim_timeout"`
@@ -156,12 +156,12 @@
 	StopTimeout config.Duration `yaml:"stop_timeout"`
 }
 
-// Retry configures the retry budget: the requests that may be sent to another
+// Retry configures the retry allowance: the requests that may be sent to another
 // backend server.
 type Retry struct {
 	// FleetShare is the fraction of a service's requests that all hosts together
-	// may retry in a window; FleetReserve is the number of retries allowed on top
-	// of it. The hosts of a data centre share that data centre's portion. Applies
+	// may retry in each Window; FleetReserve is the number of retries allowed on
+	// top of it. The hosts of a data centre share that data centre's portion. Applies
 	// only when forwarding is off. Defaults: 0.1, 10 and 10s.
 	FleetShare   float64         `yaml:"fleet_share"`
 	FleetReserve float64         `yaml:"fleet_reserve"`
--- a/internal/system/configsync/configsync.go
+++ b/internal/system/configsync/configsync.go
@@ -32,9 +32,10 @@
 	PeerTimeout      = 500 * time.Millisecond
 	FirstPeerTimeout = 1500 * time.Millisecond
 	// DocumentWait is the time for which a request is held while the asked host is itself
-	// fetching the document, which it checks for every DocumentRecheck. It is shorter than
-	// FetchRetry, after which the caller asks again. When all hosts start at once, each
-	// level of the tree then takes one fetch instead of a retry.
+	// fetching the document; it checks every DocumentPollInterval whether the document has
+	// arrived. DocumentWait is shorter than FetchRetry, after which the other host asks again.
+	// When all hosts start at once, each level of the tree then takes one fetch instead of a
+	// retry.
 	DocumentWait         = 150 * time.Millisecond
 	DocumentPollInterval = 10 * time.Millisecond
 	// MinFetchInterval is the minimum time from applying a revision to the next fetch.
@@ -79,7 +80,7 @@
 	seedStream = 64
 )
 
-// Config of a System.
+// Config configures a System.
 type Config struct {
 	// Seed of the random number generator.
 	Seed uint64
--- a/internal/world/snapshot.go
+++ b/internal/world/snapshot.go
@@ -130,7 +130,7 @@
 	// FleetSize is the largest number of hosts seen live at the same time.
 	FleetSize int
 	// ClaimCandidates are the hosts over which idempotency keys are distributed, with
-	// their addresses in ClaimantAddress. They come from the platform's host list,
+	// their addresses in ClaimCandidateAddresses. They come from the platform's host list,
 	// which does not shrink during a network partition.
 	ClaimCandidates         []rendezvous.Node
 	ClaimCandidateAddresses map[string]string
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -150,7 +150,7 @@
 	// Relapses is the number of ejections shortly after a return.
 	Relapses   int
 	ReturnedAt time.Time
-	// ProbeAt is when the next probe is due; ProbesGood is the number of consecutive
+	// ProbeAt is when the next probe is due; ConsecutiveGoodProbes is the number of consecutive
 	// successful probes.
 	ProbeAt               time.Time
 	ConsecutiveGoodProbes int
@@ -249,7 +249,8 @@
 	ActiveReaders int
 	// IsSubstituteReader is set while this host watches the platform as a substitute for a reader.
 	IsSubstituteReader bool
-	// HeadsChanged requests an immediate heartbeat from a reader.
+	// HeadsChanged is set when this host applies a new revision of a document. It requests an
+	// immediate heartbeat from a reader.
 	HeadsChanged bool
 
 	Documents map[string]*Document
@@ -278,7 +279,9 @@
 	// DirectPicking is set if each host picks backend servers itself instead of
 	// forwarding to owners.
 	DirectPicking bool
-	Registers     *register.Store
+	// Registers are the last-writer-wins values that are replicated to all hosts, such as
+	// votes, operators' directives and announced revisions; see package register.
+	Registers *register.Store
 
 	// HostsVersion increases with every change to Hosts.
 	HostsVersion uint64
