--- a/internal/daemon/loadreport.go
+++ b/internal/daemon/loadreport.go
@@ -77,7 +77,7 @@
 }
 
 // receive dispatches a datagram by kind: load reports go directly to the balancer, limit
-// usage to the limiters and server ends to the content guard. All other kinds go to the
+// usage to the limiters and reports of crashed servers to the content guard. All other kinds go to the
 // control loop.
 func (d *Daemon) receive(from string, payload []byte) {
 	datagram := &peerpb.Datagram{}
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -61,7 +61,7 @@
 }
 
 // allowTrial reports whether a request with quarantined content may be sent as a trial, to find out
-// whether the content still ends servers. If the content's first home has to be asked, it waits for
+// whether the content still crashes servers. If the content's first home has to be asked, it waits for
 // the answer, because the next request with this content may reach this host much later.
 func (q *contentGuard) allowTrial(held *quarantine.Quarantine) bool {
 	granted := q.nextGrant()
--- a/internal/engine/views.go
+++ b/internal/engine/views.go
@@ -190,7 +190,7 @@
 }
 
 // buildClaimants lists the hosts that store idempotency keys: the platform's host
-// list or, without one, every host ever heard of.
+// list or, without one, every host that this one has known.
 func (v *viewBuilder) buildClaimants(w *world.World) {
 	revision := w.Document(world.KeyHosts).Revision
 	if v.claimants != nil && revision == v.hostListRevision && (revision > 0 || len(w.Hosts) == v.hostCount) {
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -11,6 +11,8 @@
 // CauseKind classifies causes so that they can be counted over many requests.
 type CauseKind string
 
+// Kinds of cause. A server that was failing at the time of the request is a CauseServerKnownFailing if
+// the host that sent the request already considered it failing, and a CauseServerNewlyFailing if not.
 const (
 	CauseAnswered           CauseKind = "answered"
 	CauseLimit              CauseKind = "customer-limit"
--- a/internal/system/configsync/configsync.go
+++ b/internal/system/configsync/configsync.go
@@ -259,7 +259,7 @@
 		}
 		return
 	}
-	// With reader failover, a host that hears no reader becomes one. Polls by all hosts, each for
+	// With reader failover, a host that gets no heartbeats becomes a reader. Polls by all hosts, each for
 	// the full list of servers, would only add calls.
 	if s.conf.ReaderFailover || now.Before(s.nextPoll) {
 		return
