--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -64,17 +64,17 @@
 	clock    *hlc.Clock
 	events   *event.Log
 
-	bus       *bus.Bus
-	engine    *engine.Engine
-	datagrams *peer.Datagrams
-	clients   *peer.Clients
-	platform  platform.Source
-	claims    *claims.Table
-	observer  *observer
-	watcher   *watcher
-	backends  *upstream.Transport
-	owners    *upstream.Transport
-	probes    *http.Client
+	bus             *bus.Bus
+	engine          *engine.Engine
+	datagrams       *peer.Datagrams
+	clients         *peer.Clients
+	platform        platform.Source
+	claims          *claims.Table
+	observer        *observer
+	platformWatcher *platformWatcher
+	backends        *upstream.Transport
+	owners          *upstream.Transport
+	probes          *http.Client
 
 	balance *balance.Table // nil if requests are forwarded to owner hosts
 	servers *availability.Table
@@ -219,7 +219,7 @@
 	d.backends = upstream.NewTransport(upstream.Config{DialTimeout: time.Duration(d.settings.Backend.DialTimeout)})
 	d.owners = upstream.NewTransport(upstream.Config{TLS: tlsConf, DialTimeout: upstream.DefaultDialTimeout})
 	d.probes = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	d.watcher = &watcher{d: d}
+	d.platformWatcher = &platformWatcher{d: d}
 	d.observer = newObserver(d.bus, d.metrics, d.events, time.Duration(d.settings.Timing.Tick)/2)
 	d.observer.disabled = !*d.settings.Forwarding
 	return nil
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -248,7 +248,7 @@
 }
 
 // SetReading starts or stops watching the platform.
-func (f *effects) SetReading(reader bool) { f.d.watcher.setReader(reader) }
+func (f *effects) SetReading(reader bool) { f.d.platformWatcher.setReader(reader) }
 
 // StopRequested closes the channel returned by StopRequests. Repeated calls have no
 // effect.
--- a/internal/daemon/watcher.go
+++ b/internal/daemon/watcher.go
@@ -9,8 +9,8 @@
 	"github.com/pearshelf/pearshelf/internal/platform"
 )
 
-// watcher watches the platform for configuration changes while this host is a reader.
-type watcher struct {
+// platformWatcher watches the platform for configuration changes while this host is a reader.
+type platformWatcher struct {
 	d *Daemon
 
 	mu     sync.Mutex
@@ -19,7 +19,7 @@
 	seen   map[string]uint64
 }
 
-func (w *watcher) setReader(reader bool) {
+func (w *platformWatcher) setReader(reader bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
@@ -31,20 +31,20 @@
 	}
 }
 
-func (w *watcher) start() {
+func (w *platformWatcher) start() {
 	ctx, cancel := context.WithCancel(w.d.ctx)
 	w.cancel = cancel
 	w.seen = make(map[string]uint64)
 	w.d.wg.Go(func() { w.d.platform.Watch(ctx, w.lastRevision, w.deliver, w.health) })
 }
 
-func (w *watcher) lastRevision(key string) uint64 {
+func (w *platformWatcher) lastRevision(key string) uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.seen[key]
 }
 
-func (w *watcher) deliver(v *platform.Value) {
+func (w *platformWatcher) deliver(v *platform.Value) {
 	w.mu.Lock()
 	w.seen[v.Key] = max(w.seen[v.Key], v.Revision)
 	w.mu.Unlock()
@@ -53,7 +53,7 @@
 
 // health records an event when the platform becomes unreachable and when it is reachable
 // again.
-func (w *watcher) health(err error) {
+func (w *platformWatcher) health(err error) {
 	w.d.metrics.PlatformCall(err)
 	if err == nil {
 		w.d.engine.Post(func(now time.Time) { w.d.engine.PlatformAnswered(now) })
@@ -66,7 +66,7 @@
 	}
 }
 
-func (w *watcher) record(err error) {
+func (w *platformWatcher) record(err error) {
 	if err != nil {
 		w.d.events.Record(event.PlatformLost, "", "", err.Error())
 		return
--- a/internal/engine/views.go
+++ b/internal/engine/views.go
@@ -18,23 +18,23 @@
 
 // viewBuilder builds snapshots, rebuilding only the parts that have changed.
 type viewBuilder struct {
-	forwarding        bool
-	routes            *route.Table
-	services          map[string]*world.ServiceView
-	customers         *customer.Table
-	claimants         []rendezvous.Node
-	claimantAddresses map[string]string
-	hostListRevision  uint64
-	hostCount         int
-	revisions         map[string]uint64
-	sharing           *sharing.Fleet
-	hostsVersion      uint64
-	homes             []rendezvous.Node
-	reachable         map[string]bool
-	liveHosts         int
-	fleetSize         int
-	quarantine        *quarantine.View
-	rateLimits        *ratelimit.View
+	forwarding              bool
+	routes                  *route.Table
+	services                map[string]*world.ServiceView
+	customers               *customer.Table
+	claimCandidates         []rendezvous.Node
+	claimCandidateAddresses map[string]string
+	hostListRevision        uint64
+	hostCount               int
+	revisions               map[string]uint64
+	sharing                 *sharing.Fleet
+	hostsVersion            uint64
+	homes                   []rendezvous.Node
+	reachable               map[string]bool
+	liveHosts               int
+	fleetSize               int
+	quarantine              *quarantine.View
+	rateLimits              *ratelimit.View
 	// nextWarmAt is when the next cold server will be warm, zero if there is none.
 	nextWarmAt time.Time
 }
@@ -53,7 +53,7 @@
 func (v *viewBuilder) build(w *world.World, now time.Time, ready bool) *world.Snapshot {
 	v.buildFleet(w)
 	servicesChanged := v.buildServices(w)
-	v.buildClaimants(w)
+	v.buildClaimCandidates(w)
 	v.buildRevisions(w)
 	if w.QuarantineChanged {
 		v.quarantine = quarantine.ViewOf(w.Registers)
@@ -87,8 +87,8 @@
 		FleetSize:               v.fleetSize,
 		Quarantine:              v.quarantine,
 		RateLimits:              v.rateLimits,
-		ClaimCandidates:         v.claimants,
-		ClaimCandidateAddresses: v.claimantAddresses,
+		ClaimCandidates:         v.claimCandidates,
+		ClaimCandidateAddresses: v.claimCandidateAddresses,
 	}
 }
 
@@ -189,30 +189,30 @@
 	}
 }
 
-// buildClaimants lists the hosts that store idempotency keys: the platform's host
+// buildClaimCandidates lists the hosts that store idempotency keys: the platform's host
 // list or, without one, every host that this one has known.
-func (v *viewBuilder) buildClaimants(w *world.World) {
+func (v *viewBuilder) buildClaimCandidates(w *world.World) {
 	revision := w.Document(world.KeyHosts).Revision
-	if v.claimants != nil && revision == v.hostListRevision && (revision > 0 || len(w.Hosts) == v.hostCount) {
+	if v.claimCandidates != nil && revision == v.hostListRevision && (revision > 0 || len(w.Hosts) == v.hostCount) {
 		return
 	}
 	v.hostListRevision = revision
 	v.hostCount = len(w.Hosts)
-	v.claimants = nil
-	v.claimantAddresses = make(map[string]string)
+	v.claimCandidates = nil
+	v.claimCandidateAddresses = make(map[string]string)
 	for _, h := range w.HostList.Hosts {
-		v.addClaimant(h.Name, h.DataCentre, h.Address)
+		v.addClaimCandidate(h.Name, h.DataCentre, h.Address)
 	}
 	if revision > 0 {
 		return
 	}
 	for _, name := range w.HostNames() {
 		h := w.Hosts[name]
-		v.addClaimant(h.Name, h.DataCentre, h.Address)
+		v.addClaimCandidate(h.Name, h.DataCentre, h.Address)
 	}
 }
 
-func (v *viewBuilder) addClaimant(name, dataCentre, address string) {
-	v.claimants = append(v.claimants, rendezvous.NewNode(name, dataCentre))
-	v.claimantAddresses[name] = address
+func (v *viewBuilder) addClaimCandidate(name, dataCentre, address string) {
+	v.claimCandidates = append(v.claimCandidates, rendezvous.NewNode(name, dataCentre))
+	v.claimCandidateAddresses[name] = address
 }
--- a/internal/system/configsync/configsync.go
+++ b/internal/system/configsync/configsync.go
@@ -259,8 +259,8 @@
 		}
 		return
 	}
-	// With reader failover, a host that gets no heartbeats becomes a reader. Polls by all hosts, each for
-	// the full list of servers, would only add calls.
+	// With reader failover, a host that gets no heartbeats becomes a reader. Polls by all hosts,
+	// each for the full list of servers, would only add calls.
 	if s.conf.ReaderFailover || now.Before(s.nextPoll) {
 		return
 	}
