--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -24,7 +24,8 @@
 	Refuted(now time.Time)
 }
 
-// List is the membership list of one host. It is not safe for concurrent use.
+// List is the membership list of one host, with one row per known host. It is not safe for
+// concurrent use.
 type List struct {
 	conf     Config
 	delegate Delegate
--- a/internal/metrics/balance.go
+++ b/internal/metrics/balance.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// Interface assertions.
+// Interface guards.
 var (
 	_ prometheus.Collector = (*balanceCollector)(nil)
 	_ balanceSource        = (*balance.Table)(nil)
--- a/internal/metrics/control.go
+++ b/internal/metrics/control.go
@@ -46,5 +46,5 @@
 	}
 }
 
-// Interface assertion.
+// Interface guard.
 var _ prometheus.Collector = (*controlCollector)(nil)
--- a/internal/metrics/limits.go
+++ b/internal/metrics/limits.go
@@ -63,5 +63,5 @@
 	m.customerLimited.WithLabelValues(strconv.FormatBool(allowed)).Inc()
 }
 
-// Interface assertion.
+// Interface guard.
 var _ prometheus.Collector = (*limitCollector)(nil)
--- a/internal/system/configsync/apply.go
+++ b/internal/system/configsync/apply.go
@@ -57,10 +57,11 @@
 
 const headPrefix = "head/"
 
-// HeadKey returns the register key that announces a document's revision.
+// HeadKey returns the key of the register that announces a document's newest revision,
+// called its head.
 func HeadKey(key string) string { return headPrefix + key }
 
-// IsHead reports whether a register announces a document's revision.
+// IsHead reports whether a register is the head of a document; see HeadKey.
 func IsHead(r *peerpb.Register) bool { return strings.HasPrefix(r.Key, headPrefix) }
 
 // announce publishes a revision to the fleet unless it is already known.
--- a/internal/system/configsync/configsync.go
+++ b/internal/system/configsync/configsync.go
@@ -53,9 +53,9 @@
 	// FailedFetchPause is the pause after a fetch that returned no document.
 	FailedFetchPause = 50 * time.Millisecond
 	// The sources of a fetch depend on the number of attempts since the last
-	// success: the parent in the tree up to ParentAttempts, then the announced
-	// holder, after HolderAttempts any other host too, and after PeerAttempts the
-	// platform.
+	// success: the parent in the tree up to ParentAttempts, then the holder, which
+	// is the host that announced the revision, after HolderAttempts any other host
+	// too, and after PeerAttempts the platform.
 	ParentAttempts = 2
 	HolderAttempts = 2
 	PeerAttempts   = 10
--- a/internal/system/detection/detection.go
+++ b/internal/system/detection/detection.go
@@ -1,9 +1,9 @@
 // Package detection detects faulty backend servers from the outcomes of
-// requests on all hosts. Owners report to the watchers of a service by
-// exception. Each watcher runs a cumulative sum test per server, relative to
-// the other servers of the service, and votes; a majority of votes ejects a
-// server (package verdict). Without a majority a host only prefers other
-// servers, which costs no capacity.
+// requests on all hosts. Owners report to the watchers of a service only after
+// a failure or while a server's score is elevated. Each watcher runs a
+// cumulative sum test per server, relative to the other servers of the service,
+// and votes; a majority of votes ejects a server (package verdict). Without a
+// majority a host only prefers other servers, which costs no capacity.
 package detection
 
 import (
--- a/internal/system/detection/vote.go
+++ b/internal/system/detection/vote.go
@@ -65,7 +65,7 @@
 	})
 }
 
-// probeGood handles a successful probe. A server with a gray failure may still
+// probeGood handles a successful probe. A server with a grey failure may still
 // pass health checks, so only a probe of a path that does real work counts as
 // evidence of health.
 func (s *System) probeGood(w *world.World, now time.Time, svc *world.Service, b *world.BackendServer, e *evidence, o *peerpb.Observation) {
