--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -101,7 +101,7 @@
 
 // RecordCrash implements dispatch.Quarantine.
 func (q *contentGuard) RecordCrash(subject quarantine.Subject, service, server string) {
-	q.d.metrics.ServerEnded(service)
+	q.d.metrics.ServerCrashed(service)
 	q.update(func(now time.Time) {
 		for scope, id := range subject.IDs() {
 			q.table.RecordCrash(now, id, quarantine.Crash{Scope: quarantine.Scope(scope), Service: service, Server: server, At: now})
--- a/internal/engine/inputs.go
+++ b/internal/engine/inputs.go
@@ -154,7 +154,7 @@
 		return &peerpb.DocumentResponse{}, false, nil
 	}
 	resp, err = configsync.Answer(e.world, now, doc, req.After)
-	return resp, len(resp.GetDocument()) == 0 && now.Before(doc.Fetching), err
+	return resp, len(resp.GetDocument()) == 0 && now.Before(doc.FetchingUntil), err
 }
 
 // MarkSynced records that a full state sync with a peer has completed.
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -24,7 +24,7 @@
 	CauseUnreachable        CauseKind = "unreachable"
 	CauseTimeout            CauseKind = "no-answer-in-time"
 	CauseCallerDisconnected CauseKind = "caller-left"
-	CauseServerEnded        CauseKind = "server-ended"
+	CauseServerCrashed      CauseKind = "server-ended"
 	CauseConnectionBroken   CauseKind = "connection-broke"
 	CauseWrongAnswer        CauseKind = "wrong-answer"
 	CauseRequestError       CauseKind = "request's-own-error"
@@ -76,7 +76,7 @@
 	case kind == "canceled":
 		return Cause{CauseCallerDisconnected, "the caller disconnected before server " + last.server + " answered"}
 	case last.serverState == "ended":
-		return Cause{CauseServerEnded, "server " + last.server + " ended while it had the request: it may have run; if other servers end in the same way, show quarantine lists the request" + retryNote(r)}
+		return Cause{CauseServerCrashed, "server " + last.server + " ended while it had the request: it may have run; if other servers end in the same way, show quarantine lists the request" + retryNote(r)}
 	case kind == "answer-broken" || kind == "cut-short":
 		return Cause{CauseConnectionBroken, "the connection to server " + last.server + " broke after the request was sent: it may have run" + retryNote(r)}
 	case kind == "wrong-answer":
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -95,7 +95,7 @@
 		explain.CauseShed:               {1, 0},
 		explain.CauseLimit:              {1, 0},
 		explain.CauseUnknownKey:         {1, 0},
-		explain.CauseServerEnded:        {0, 1},
+		explain.CauseServerCrashed:      {0, 1},
 		explain.CauseQuarantined:        {1, 0},
 		explain.CauseRateLimits:         {1, 0},
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -111,8 +111,8 @@
 	m.latency.WithLabelValues(service, outcome).Observe(took.Seconds())
 }
 
-// Retry counts a request that was eligible for a retry, by whether the retry
-// budget allowed it.
+// Retry counts a request that was eligible for a retry, by whether the host's retry
+// budget or, without forwarding, the retry allowance of the fleet permitted it.
 func (m *Metrics) Retry(service string, allowed bool) {
 	m.retries.WithLabelValues(service, strconv.FormatBool(allowed)).Inc()
 }
@@ -125,9 +125,9 @@
 	}, func() float64 { return float64(dropped()) }))
 }
 
-// ServerEnded counts a request whose backend server terminated while processing
+// ServerCrashed counts a request whose backend server terminated while processing
 // it.
-func (m *Metrics) ServerEnded(service string) { m.serverEnds.WithLabelValues(service).Inc() }
+func (m *Metrics) ServerCrashed(service string) { m.serverEnds.WithLabelValues(service).Inc() }
 
 // Quarantined counts a request that was rejected because requests of its kind
 // make backend servers terminate.
--- a/internal/system/configsync/apply.go
+++ b/internal/system/configsync/apply.go
@@ -21,7 +21,7 @@
 // incomplete. An invalid document is rejected as a whole.
 func Accept(w *world.World, now time.Time, key string, revision uint64, raw []byte) {
 	doc := w.Document(key)
-	doc.Fetching = time.Time{}
+	doc.FetchingUntil = time.Time{}
 	if revision < doc.Revision || revision == doc.Revision && !doc.Incomplete {
 		recordOlder(w, now, doc, revision)
 		return
@@ -42,7 +42,7 @@
 		return
 	}
 	doc.Revision = revision
-	doc.Fetching = now.Add(MinFetchInterval)
+	doc.FetchingUntil = now.Add(MinFetchInterval)
 	doc.RefusedReason = ""
 	w.HeadsChanged = true
 	w.Record(now, event.ConfigApplied, "", "", fmt.Sprintf("%s revision %d", key, revision))
--- a/internal/system/configsync/configsync.go
+++ b/internal/system/configsync/configsync.go
@@ -155,7 +155,7 @@
 		return true
 	}
 	for _, doc := range w.Documents {
-		if now.Before(doc.Fetching) {
+		if now.Before(doc.FetchingUntil) {
 			return true
 		}
 	}
@@ -303,10 +303,10 @@
 }
 
 func (s *System) fetch(w *world.World, now time.Time, doc *world.Document, source fetchSource) {
-	if now.Before(doc.Fetching) {
+	if now.Before(doc.FetchingUntil) {
 		return
 	}
-	doc.Fetching = now.Add(retryAfter(doc))
+	doc.FetchingUntil = now.Add(retryAfter(doc))
 	doc.Attempts++
 	f := world.Fetch{Key: doc.Key, After: doc.BaseRevision(), Platform: source.platform || doc.Attempts > PeerAttempts}
 	if !source.platform {
@@ -333,8 +333,8 @@
 
 // FetchFailed records that a fetch ended without a document.
 func FetchFailed(w *world.World, now time.Time, key string) {
-	if doc := w.Document(key); doc.Fetching.After(now.Add(FailedFetchPause)) {
-		doc.Fetching = now.Add(FailedFetchPause)
+	if doc := w.Document(key); doc.FetchingUntil.After(now.Add(FailedFetchPause)) {
+		doc.FetchingUntil = now.Add(FailedFetchPause)
 	}
 }
 
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -75,8 +75,8 @@
 	Incomplete bool
 	// Answers caches the latest responses to other hosts for this document.
 	Answers DocumentAnswers
-	// Fetching is the time until which a fetch counts as in progress.
-	Fetching time.Time
+	// FetchingUntil is the time until which a fetch counts as in progress.
+	FetchingUntil time.Time
 	// Attempts is the number of fetches since the last success.
 	Attempts int
 }
