--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -175,7 +175,7 @@
 	for _, m := range messages {
 		address, known := snap.Sharing.Address(m.To)
 		if !known {
-			klog.V(3).InfoS("dropping server end report: unknown host", "peer", m.To)
+			klog.V(3).InfoS("dropping server crash report: unknown host", "peer", m.To)
 			continue
 		}
 		q.d.datagrams.Send(&peerpb.Datagram{
