--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -61,7 +61,7 @@
 }
 
 // allowTrial reports whether a request with quarantined content may be sent as a trial, to find out
-// whether the content still ends servers. If the content's first home has to be asked, it waits for
+// whether the content still crashes servers. If the content's first home has to be asked, it waits for
 // the answer, because the next request with this content may reach this host much later.
 func (q *contentGuard) allowTrial(held *quarantine.Quarantine) bool {
 	granted := q.nextGrant()
@@ -101,7 +101,7 @@
 
 // RecordCrash implements dispatch.Quarantine.
 func (q *contentGuard) RecordCrash(subject quarantine.Subject, service, server string) {
-	q.d.metrics.ServerEnded(service)
+	q.d.metrics.ServerCrashed(service)
 	q.update(func(now time.Time) {
 		for scope, id := range subject.IDs() {
 			q.table.RecordCrash(now, id, quarantine.Crash{Scope: quarantine.Scope(scope), Service: service, Server: server, At: now})
@@ -175,7 +175,7 @@
 	for _, m := range messages {
 		address, known := snap.Sharing.Address(m.To)
 		if !known {
-			klog.V(3).InfoS("dropping server end report: unknown host", "peer", m.To)
+			klog.V(3).InfoS("dropping server crash report: unknown host", "peer", m.To)
 			continue
 		}
 		q.d.datagrams.Send(&peerpb.Datagram{
--- a/internal/system/configsync/apply.go
+++ b/internal/system/configsync/apply.go
@@ -21,7 +21,7 @@
 // incomplete. An invalid document is rejected as a whole.
 func Accept(w *world.World, now time.Time, key string, revision uint64, raw []byte) {
 	doc := w.Document(key)
-	doc.Fetching = time.Time{}
+	doc.FetchingUntil = time.Time{}
 	if revision < doc.Revision || revision == doc.Revision && !doc.Incomplete {
 		recordOlder(w, now, doc, revision)
 		return
@@ -42,7 +42,7 @@
 		return
 	}
 	doc.Revision = revision
-	doc.Fetching = now.Add(MinFetchInterval)
+	doc.FetchingUntil = now.Add(MinFetchInterval)
 	doc.RefusedReason = ""
 	w.HeadsChanged = true
 	w.Record(now, event.ConfigApplied, "", "", fmt.Sprintf("%s revision %d", key, revision))
@@ -57,10 +57,11 @@
 
 const headPrefix = "head/"
 
-// HeadKey returns the register key that announces a document's revision.
+// HeadKey returns the key of the register that announces a document's newest revision,
+// called its head.
 func HeadKey(key string) string { return headPrefix + key }
 
-// IsHead reports whether a register announces a document's revision.
+// IsHead reports whether a register is the head of a document; see HeadKey.
 func IsHead(r *peerpb.Register) bool { return strings.HasPrefix(r.Key, headPrefix) }
 
 // announce publishes a revision to the fleet unless it is already known.
--- a/internal/system/configsync/configsync.go
+++ b/internal/system/configsync/configsync.go
@@ -32,9 +32,10 @@
 	PeerTimeout      = 500 * time.Millisecond
 	FirstPeerTimeout = 1500 * time.Millisecond
 	// DocumentWait is the time for which a request is held while the asked host is itself
-	// fetching the document, which it checks for every DocumentRecheck. It is shorter than
-	// FetchRetry, after which the caller asks again. When all hosts start at once, each
-	// level of the tree then takes one fetch instead of a retry.
+	// fetching the document; it checks every DocumentPollInterval whether the document has
+	// arrived. DocumentWait is shorter than FetchRetry, after which the other host asks again.
+	// When all hosts start at once, each level of the tree then takes one fetch instead of a
+	// retry.
 	DocumentWait         = 150 * time.Millisecond
 	DocumentPollInterval = 10 * time.Millisecond
 	// MinFetchInterval is the minimum time from applying a revision to the next fetch.
@@ -52,9 +53,9 @@
 	// FailedFetchPause is the pause after a fetch that returned no document.
 	FailedFetchPause = 50 * time.Millisecond
 	// The sources of a fetch depend on the number of attempts since the last
-	// success: the parent in the tree up to ParentAttempts, then the announced
-	// holder, after HolderAttempts any other host too, and after PeerAttempts the
-	// platform.
+	// success: the parent in the tree up to ParentAttempts, then the holder, which
+	// is the host that announced the revision, after HolderAttempts any other host
+	// too, and after PeerAttempts the platform.
 	ParentAttempts = 2
 	HolderAttempts = 2
 	PeerAttempts   = 10
@@ -79,7 +80,7 @@
 	seedStream = 64
 )
 
-// Config of a System.
+// Config configures a System.
 type Config struct {
 	// Seed of the random number generator.
 	Seed uint64
@@ -154,7 +155,7 @@
 		return true
 	}
 	for _, doc := range w.Documents {
-		if now.Before(doc.Fetching) {
+		if now.Before(doc.FetchingUntil) {
 			return true
 		}
 	}
@@ -258,8 +259,8 @@
 		}
 		return
 	}
-	// With reader failover, a host that hears no reader becomes one. Polls by all hosts, each for
-	// the full list of servers, would only add calls.
+	// With reader failover, a host that gets no heartbeats becomes a reader. Polls by all hosts,
+	// each for the full list of servers, would only add calls.
 	if s.conf.ReaderFailover || now.Before(s.nextPoll) {
 		return
 	}
@@ -302,10 +303,10 @@
 }
 
 func (s *System) fetch(w *world.World, now time.Time, doc *world.Document, source fetchSource) {
-	if now.Before(doc.Fetching) {
+	if now.Before(doc.FetchingUntil) {
 		return
 	}
-	doc.Fetching = now.Add(retryAfter(doc))
+	doc.FetchingUntil = now.Add(retryAfter(doc))
 	doc.Attempts++
 	f := world.Fetch{Key: doc.Key, After: doc.BaseRevision(), Platform: source.platform || doc.Attempts > PeerAttempts}
 	if !source.platform {
@@ -332,8 +333,8 @@
 
 // FetchFailed records that a fetch ended without a document.
 func FetchFailed(w *world.World, now time.Time, key string) {
-	if doc := w.Document(key); doc.Fetching.After(now.Add(FailedFetchPause)) {
-		doc.Fetching = now.Add(FailedFetchPause)
+	if doc := w.Document(key); doc.FetchingUntil.After(now.Add(FailedFetchPause)) {
+		doc.FetchingUntil = now.Add(FailedFetchPause)
 	}
 }
 
