--- a/experiment/quotas/quotas.go
+++ b/experiment/quotas/quotas.go
@@ -411,7 +411,7 @@
 		decide(b.take(h.fleet.clock.Now, a.limit, 1/float64(len(h.fleet.hosts))))
 		return
 	}
-	verdict, decided := h.table.Take(h.fleet.clock.Time(), a.name, a.limit, func(v quota.Verdict) { decide(v.OK) })
+	verdict, decided := h.table.Take(h.fleet.clock.Time(), a.name, a.limit, func(v quota.Decision) { decide(v.OK) })
 	if decided {
 		decide(verdict.OK)
 	}
--- a/experiment/replay/ratelimit.go
+++ b/experiment/replay/ratelimit.go
@@ -40,7 +40,7 @@
 type limits struct {
 	host     *host
 	way      LimitWay
-	listener *ratelimit.Listener
+	listener *ratelimit.ChangeDetector
 	view     *ratelimit.View
 	table    *quota.Table
 	parts    map[process.Key]*part
@@ -89,7 +89,7 @@
 }
 
 // take asks for a token to send to a server; decide is called at once or later.
-func (l *limits) take(limit ratelimit.Limit, decide func(quota.Verdict)) {
+func (l *limits) take(limit ratelimit.Limit, decide func(quota.Decision)) {
 	now := l.host.fleet.clock.Time()
 	switch l.way {
 	case LimitsByHome:
@@ -104,12 +104,12 @@
 	case LimitsByHolders:
 		decide(l.takeAsHolder(now, limit))
 	default:
-		decide(quota.Verdict{OK: true})
+		decide(quota.Decision{OK: true})
 	}
 }
 
 // takePart takes a token of one of several equal parts.
-func (l *limits) takePart(now time.Time, limit ratelimit.Limit, of int) quota.Verdict {
+func (l *limits) takePart(now time.Time, limit ratelimit.Limit, of int) quota.Decision {
 	key := limit.Server.Key()
 	p, known := l.parts[key]
 	if !known {
@@ -121,20 +121,20 @@
 	p.at = now
 	if p.tokens < 1 {
 		wait := time.Duration((1 - p.tokens) / rate * float64(time.Second))
-		return quota.Verdict{RetryAfter: wait, Backoff: wait}
+		return quota.Decision{RetryAfter: wait, Backoff: wait}
 	}
 	p.tokens--
-	return quota.Verdict{OK: true}
+	return quota.Decision{OK: true}
 }
 
-func (l *limits) takeAsHolder(now time.Time, limit ratelimit.Limit) quota.Verdict {
+func (l *limits) takeAsHolder(now time.Time, limit ratelimit.Limit) quota.Decision {
 	f := l.host.fleet
 	nodes := make([]rendezvous.Node, 0, len(f.hosts))
 	for _, h := range f.hosts {
 		nodes = append(nodes, rendezvous.NewNode(h.name, ""))
 	}
 	if !slices.Contains(rendezvous.Top(limit.Server.ID, nodes, holders), l.host.name) {
-		return quota.Verdict{RetryAfter: time.Second, Backoff: time.Minute}
+		return quota.Decision{RetryAfter: time.Second, Backoff: time.Minute}
 	}
 	return l.takePart(now, limit, holders)
 }
--- a/experiment/replay/request.go
+++ b/experiment/replay/request.go
@@ -124,7 +124,7 @@
 		return
 	}
 	if limit, limited := r.host.limits.view.Of(availability.ServerOf(r.route.Service, &placement.Server)); limited {
-		r.host.limits.take(limit, func(verdict quota.Verdict) { r.decided(placement, verdict) })
+		r.host.limits.take(limit, func(verdict quota.Decision) { r.decided(placement, verdict) })
 		return
 	}
 	r.begin(placement)
@@ -145,7 +145,7 @@
 }
 
 // decided sends the request if its server's rate limit has room, else to another server.
-func (r *request) decided(placement *policy.Placement, verdict quota.Verdict) {
+func (r *request) decided(placement *policy.Placement, verdict quota.Decision) {
 	server := availability.ServerOf(r.route.Service, &placement.Server)
 	switch {
 	case verdict.OK && !r.over:
--- a/internal/daemon/limiter.go
+++ b/internal/daemon/limiter.go
@@ -57,18 +57,18 @@
 
 // take acquires a permit for one request. It returns an error only if ctx ends before the
 // home host answers.
-func (l *limiter) take(ctx context.Context, name string, limit customer.Limit) (quota.Verdict, error) {
-	decided := make(chan quota.Verdict, 1)
-	verdict, immediate := quota.Verdict{}, false
+func (l *limiter) take(ctx context.Context, name string, limit customer.Limit) (quota.Decision, error) {
+	decided := make(chan quota.Decision, 1)
+	verdict, immediate := quota.Decision{}, false
 	l.update(func(now time.Time) {
-		verdict, immediate = l.table.Take(now, name, limit, func(v quota.Verdict) { decided <- v })
+		verdict, immediate = l.table.Take(now, name, limit, func(v quota.Decision) { decided <- v })
 	})
 	if !immediate {
 		select {
 		case verdict = <-decided:
 		case <-ctx.Done():
 			go l.refundLate(name, decided)
-			return quota.Verdict{}, context.Cause(ctx)
+			return quota.Decision{}, context.Cause(ctx)
 		}
 	}
 	return verdict, nil
@@ -76,7 +76,7 @@
 
 // refundLate waits for the decision on an abandoned request and returns its permit if it
 // was granted.
-func (l *limiter) refundLate(name string, decided <-chan quota.Verdict) {
+func (l *limiter) refundLate(name string, decided <-chan quota.Decision) {
 	if verdict := <-decided; verdict.OK {
 		l.refund(name)
 	}
--- a/internal/daemon/ratelimit.go
+++ b/internal/daemon/ratelimit.go
@@ -20,7 +20,7 @@
 // rateLimiter enforces the rate limits that backend servers announce, across all hosts.
 type rateLimiter struct {
 	*limiter
-	listener *ratelimit.Listener
+	listener *ratelimit.ChangeDetector
 }
 
 func newRateLimiter(d *Daemon, life uint64) *rateLimiter {
@@ -72,7 +72,7 @@
 }
 
 // Take implements dispatch.RateLimits.
-func (r *rateLimiter) Take(ctx context.Context, limit ratelimit.Limit) (quota.Verdict, error) {
+func (r *rateLimiter) Take(ctx context.Context, limit ratelimit.Limit) (quota.Decision, error) {
 	verdict, err := r.take(ctx, limit.Server.Key().String(), limit.Bound())
 	if err == nil {
 		r.d.metrics.RateLimited(verdict.OK)
--- a/internal/dispatch/ratelimit.go
+++ b/internal/dispatch/ratelimit.go
@@ -22,7 +22,7 @@
 	RecordLimit(server process.Server, sentAt time.Time, reported protocol.RateLimit)
 	// Take requests a token, the right to send one request to a server. The error is that of
 	// ctx.
-	Take(ctx context.Context, limit ratelimit.Limit) (quota.Verdict, error)
+	Take(ctx context.Context, limit ratelimit.Limit) (quota.Decision, error)
 	// Return gives back the token of a request of which no byte was sent.
 	Return(server process.Server)
 	// ReserveRetry returns after which time a request that any of these servers can run may be
--- a/internal/engine/serviceview.go
+++ b/internal/engine/serviceview.go
@@ -78,7 +78,7 @@
 		Started:        b.Config.Started,
 		JoinedAt:       b.JoinedAt,
 		Slots:          b.Config.Slots,
-		Share:          share,
+		SlotShare:      share,
 		IdempotentOnly: b.Rotation.IdempotentOnly,
 		Weight:         b.Rotation.Weight,
 		Node:           rendezvous.NewNode(b.Config.ID, ""),
@@ -142,7 +142,7 @@
 // applyColdLimits adds the rate limits for cold servers to the limits set by the servers
 // themselves.
 func (v *viewBuilder) applyColdLimits(w *world.World, now time.Time) {
-	var cold []ratelimit.Cold
+	var cold []ratelimit.ColdServer
 	v.nextWarmAt = time.Time{}
 	for name, svc := range w.Services {
 		if svc.Config.ColdPerSecond <= 0 {
@@ -153,7 +153,7 @@
 				continue
 			}
 			server := process.Server{Service: name, ID: b.Config.ID, Started: b.Config.Started}
-			cold = append(cold, ratelimit.Cold{Server: server, PerSecond: svc.Config.ColdPerSecond, Until: b.ColdUntil})
+			cold = append(cold, ratelimit.ColdServer{Server: server, PerSecond: svc.Config.ColdPerSecond, Until: b.ColdUntil})
 			if v.nextWarmAt.IsZero() || b.ColdUntil.Before(v.nextWarmAt) {
 				v.nextWarmAt = b.ColdUntil
 			}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -130,8 +130,8 @@
 // reachableShare returns the fraction of all hosts that this one can reach.
 func (f *Fleet) reachableShare() float64 { return float64(len(f.Homes)) / float64(max(f.PeakSize, 1)) }
 
-// Verdict is the decision on a request.
-type Verdict struct {
+// Decision is the decision on a request.
+type Decision struct {
 	OK bool
 	// RetryAfter is the time after which the caller of a refused request may retry.
 	RetryAfter time.Duration
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -48,8 +48,8 @@
 // A token request that is repeated because its answer was lost must not take tokens twice.
 func TestRepeatedTokenRequestIsGrantedOnce(t *testing.T) {
 	home, other, name := twoHosts(t)
-	var verdicts []Verdict
-	if _, now := other.Take(epoch, name, limit, func(v Verdict) { verdicts = append(verdicts, v) }); now {
+	var verdicts []Decision
+	if _, now := other.Take(epoch, name, limit, func(v Decision) { verdicts = append(verdicts, v) }); now {
 		t.Fatal("decided without asking the home")
 	}
 	first := onlyUsage(t, other)
@@ -78,7 +78,7 @@
 	_, other, name := twoHosts(t)
 	decided := 0
 	take := func(now time.Time) bool {
-		verdict, at := other.Take(now, name, limit, func(v Verdict) {
+		verdict, at := other.Take(now, name, limit, func(v Decision) {
 			if v.OK {
 				decided++
 			}
@@ -221,12 +221,12 @@
 			continue // the unreachable home
 		}
 		// The home answered some time ago, without a grant.
-		table.Take(epoch.Add(-50*time.Second), "shop/i1", smallLimit, func(Verdict) {})
+		table.Take(epoch.Add(-50*time.Second), "shop/i1", smallLimit, func(Decision) {})
 		ask := onlyUsage(t, table).Ask
 		table.Grants(epoch.Add(-50*time.Second), table.homeName("shop/i1"), []*peerpb.CustomerGrant{{Customer: "shop/i1", Ask: ask}})
 		for now := epoch; now.Sub(epoch) < 4*time.Second; now = now.Add(10 * time.Millisecond) {
 			table.Tick(now)
-			verdict, decided := table.Take(now, "shop/i1", smallLimit, func(v Verdict) {
+			verdict, decided := table.Take(now, "shop/i1", smallLimit, func(v Decision) {
 				if v.OK {
 					sent++
 				}
@@ -292,7 +292,7 @@
 	now := epoch
 	for _, node := range slices.Concat(fleet.Homes, fleet.Homes) { // each host asks twice, in turn
 		table := tables[node.Name]
-		table.Take(now, "shop/i1", smallLimit, func(Verdict) {})
+		table.Take(now, "shop/i1", smallLimit, func(Decision) {})
 		for _, m := range table.TakeMessages() {
 			home.Usages(now, table.self, 1, m.Usages)
 		}
--- a/internal/quota/request.go
+++ b/internal/quota/request.go
@@ -76,10 +76,10 @@
 	if refused {
 		t.backOff(now, s, time.Duration(g.PauseMs)*time.Millisecond)
 	}
-	s.resolve(int(g.Granted), func() Verdict { return s.allow(now) })
+	s.resolve(int(g.Granted), func() Decision { return s.allow(now) })
 	switch {
 	case refused:
-		s.resolve(len(s.waiting), func() Verdict { return s.refuse(now) })
+		s.resolve(len(s.waiting), func() Decision { return s.refuse(now) })
 	case len(s.waiting) > 0: // arrived after the token request was sent
 		t.requestTokens(now, s)
 	}
@@ -102,7 +102,7 @@
 }
 
 // resolve decides the first n waiting requests.
-func (s *customerState) resolve(n int, verdict func() Verdict) {
+func (s *customerState) resolve(n int, verdict func() Decision) {
 	n = min(n, len(s.waiting))
 	decided := s.waiting[:n]
 	s.waiting = s.waiting[n:]
@@ -121,5 +121,5 @@
 	}
 	s.requestID = 0
 	t.enterFallback(now, s)
-	s.resolve(len(s.waiting), func() Verdict { return t.takeFallback(now, s) })
+	s.resolve(len(s.waiting), func() Decision { return t.takeFallback(now, s) })
 }
--- a/internal/quota/served.go
+++ b/internal/quota/served.go
@@ -34,7 +34,7 @@
 	requestedAt time.Time
 	attempts    int
 	wanted      int
-	waiting     []func(Verdict)
+	waiting     []func(Decision)
 
 	// backoffUntil is the earliest time for another token request, tokenInterval the time
 	// between two tokens for this host, and lastRetryAt the time at which the last refused
@@ -53,7 +53,7 @@
 
 // Take decides on one request of a customer. If the home has to be asked first, it returns
 // false and calls done with the verdict later.
-func (t *Table) Take(now time.Time, name string, limit customer.Limit, done func(Verdict)) (Verdict, bool) {
+func (t *Table) Take(now time.Time, name string, limit customer.Limit, done func(Decision)) (Decision, bool) {
 	s := t.stateOf(now, name, limit)
 	s.lastRequest = now
 	switch {
@@ -74,7 +74,7 @@
 	if s.requestID == 0 {
 		t.requestTokens(now, s)
 	}
-	return Verdict{}, false
+	return Decision{}, false
 }
 
 // stateOf returns the state of a customer that this host serves, and creates it if absent.
@@ -125,7 +125,7 @@
 }
 
 // takeAsHome decides on a request at the customer's home itself.
-func (t *Table) takeAsHome(now time.Time, s *customerState) Verdict {
+func (t *Table) takeAsHome(now time.Time, s *customerState) Decision {
 	h := t.homeFor(now, s.name, s.limit)
 	u, made := h.hostUsage(t.self, 0)
 	if made {
@@ -145,7 +145,7 @@
 
 // takeFallback decides on a request while the home is unreachable, from this host's share of the
 // limit and a small reserve for customers that are new to this host.
-func (t *Table) takeFallback(now time.Time, s *customerState) Verdict {
+func (t *Table) takeFallback(now time.Time, s *customerState) Decision {
 	share := t.fallbackShare(now, s)
 	size := 1.0
 	if s.share > 0 || !t.fleet.Settled {
@@ -222,19 +222,19 @@
 	return first.refuse(now).RetryAfter
 }
 
-func (s *customerState) allow(now time.Time) Verdict {
+func (s *customerState) allow(now time.Time) Decision {
 	s.meter.add(now, 1)
 	s.allowedTotal++
-	return Verdict{OK: true}
+	return Decision{OK: true}
 }
 
 // refuse assigns a retry time to a refused caller. Retry times are spaced at the rate at which
 // this host receives tokens.
-func (s *customerState) refuse(now time.Time) Verdict {
+func (s *customerState) refuse(now time.Time) Decision {
 	at := s.nextRetryAt(now)
 	s.lastRetryAt = at
 	s.refusedTotal++
-	return Verdict{RetryAfter: min(at.Sub(now), maxRetryAfter), Backoff: s.backoffUntil.Sub(now)}
+	return Decision{RetryAfter: min(at.Sub(now), maxRetryAfter), Backoff: s.backoffUntil.Sub(now)}
 }
 
 // nextRetryAt returns the retry time for the next refused caller.
--- a/internal/ratelimit/cold.go
+++ b/internal/ratelimit/cold.go
@@ -11,8 +11,8 @@
 // server announces, but needs no reports: each host derives the limit and its end from the list of
 // servers.
 
-// Cold is a server with a low rate limit during warm-up.
-type Cold struct {
+// ColdServer is a server with a low rate limit during warm-up.
+type ColdServer struct {
 	Server process.Server
 	// PerSecond is the rate limit over all hosts together, in requests a second.
 	PerSecond float64
@@ -21,7 +21,7 @@
 }
 
 // WithCold returns a copy of the view in which cold replaces the limits of cold servers.
-func (v *View) WithCold(cold []Cold) *View {
+func (v *View) WithCold(cold []ColdServer) *View {
 	next := &View{cold: make(map[process.Key]Limit, len(cold))}
 	if v != nil {
 		next.limits = v.limits
--- a/internal/ratelimit/listener.go
+++ b/internal/ratelimit/listener.go
@@ -43,9 +43,9 @@
 	maxTracked = 1024
 )
 
-// Listener decides which answers of servers carry a change of their rate limits that all hosts must
+// ChangeDetector decides which answers of servers carry a change of their rate limits that all hosts must
 // learn of. It is safe for concurrent use.
-type Listener struct {
+type ChangeDetector struct {
 	mu         sync.Mutex
 	lastReport map[process.Key]lastReport
 	unreadable map[process.Key]bool
@@ -58,13 +58,13 @@
 }
 
 // NewListener returns a listener without earlier reports.
-func NewListener() *Listener {
-	return &Listener{lastReport: make(map[process.Key]lastReport), unreadable: make(map[process.Key]bool)}
+func NewListener() *ChangeDetector {
+	return &ChangeDetector{lastReport: make(map[process.Key]lastReport), unreadable: make(map[process.Key]bool)}
 }
 
 // Observe compares the rate limit in an answer with the view and returns the report for all hosts, or
 // false if there is nothing to report. sentAt is when the request of the answer was sent.
-func (l *Listener) Observe(now time.Time, view *View, server process.Server, sentAt time.Time, announced protocol.RateLimit) (Report, bool) {
+func (l *ChangeDetector) Observe(now time.Time, view *View, server process.Server, sentAt time.Time, announced protocol.RateLimit) (Report, bool) {
 	current, known := view.Named(server.Key())
 	if !known && !announced.Named || announced.Invalid != "" {
 		return Report{}, false
@@ -101,7 +101,7 @@
 
 // shouldReport records a report and returns false if the same change was reported just now. A
 // lower value is always reported.
-func (l *Listener) shouldReport(now time.Time, report Report) bool {
+func (l *ChangeDetector) shouldReport(now time.Time, report Report) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := report.Server.Key()
@@ -117,7 +117,7 @@
 }
 
 // FirstUnreadable reports whether a server has sent an unreadable value for the first time.
-func (l *Listener) FirstUnreadable(server process.Server) bool {
+func (l *ChangeDetector) FirstUnreadable(server process.Server) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.unreadable[server.Key()] {
--- a/internal/slots/pick.go
+++ b/internal/slots/pick.go
@@ -33,7 +33,7 @@
 
 // hasOwnedSlot reports whether one of this host's own slots is free. It needs no
 // estimate, as other owners use these slots only by borrowing.
-func (s *server) hasOwnedSlot(float64) bool { return s.inFlight < s.view.Share }
+func (s *server) hasOwnedSlot(float64) bool { return s.inFlight < s.view.SlotShare }
 
 // hasReportedCapacity reports whether a slot is free according to the load estimated
 // from the server's reports.
--- a/internal/slots/pool_test.go
+++ b/internal/slots/pool_test.go
@@ -17,7 +17,7 @@
 	pool := NewPool()
 	view := &world.ServiceView{
 		Config:   &config.Service{Name: "shop", Queue: 10, QueueWait: config.Duration(time.Hour)},
-		Backends: []world.BackendView{{ID: "b1", Slots: 1, Share: 1, Weight: 1}},
+		Backends: []world.BackendView{{ID: "b1", Slots: 1, SlotShare: 1, Weight: 1}},
 	}
 	var unavailable atomic.Bool
 	req := Request{Deadline: time.Now().Add(time.Hour), Available: func(*world.BackendView) bool { return !unavailable.Load() }}
--- a/internal/world/snapshot.go
+++ b/internal/world/snapshot.go
@@ -28,8 +28,8 @@
 	Started int64
 	// JoinedAt is when the server joined, zero if it was there before this host.
 	JoinedAt time.Time
-	// Share is the number of slots assigned to this host; see SharesSlots.
-	Share          int
+	// SlotShare is the number of slots assigned to this host; see SharesSlots.
+	SlotShare      int
 	IdempotentOnly bool
 	Weight         float64
 	Node           rendezvous.Node
